--- a/crates/accord/src/rules.rs
+++ b/crates/accord/src/rules.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde_json::Value as Json;
-use tansyjunction::interface::Standing;
+use tansyjunction::interface::ServerState;
 use tansyjunction_hosting::List;
 
 use crate::meet::{Agreed, Class, Free, Least, Meet, Most, Permits, Strictest, class};
@@ -342,16 +342,16 @@
             }
         }
         for host in list.into_iter().flat_map(|list| list.hosts) {
-            if host.primary && host.standing == Standing::Serving {
+            if host.primary && host.standing == ServerState::Serving {
                 let leads = Agreed(Some(host.name.clone()));
                 // Two that the list says lead one shard: nobody may be taken to.
                 let known = rules.primaries.get(&host.group).map(|known| known.meet(&leads));
                 rules.primaries.insert(host.group.clone(), known.unwrap_or(leads));
             }
             let stands = match host.standing {
-                Standing::Serving => Stands::Serving,
-                Standing::Draining => Stands::Draining,
-                Standing::Gone => Stands::Gone,
+                ServerState::Serving => Stands::Serving,
+                ServerState::Draining => Stands::Draining,
+                ServerState::Gone => Stands::Gone,
             };
             let one = Host {
                 standing: Strictest(stands),
--- a/crates/expect/src/check.rs
+++ b/crates/expect/src/check.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use tansyjunction::Router;
-use tansyjunction::interface::Named;
+use tansyjunction::interface::SettingsByName;
 use tansyjunction_settings::{Expecting, Fault, Ini, Program};
 
 use crate::contradiction;
@@ -97,7 +97,7 @@
 }
 
 /// The router itself.
-pub fn router(named: &Named, seed: u64) -> Result<Router, String> {
+pub fn router(named: &SettingsByName, seed: u64) -> Result<Router, String> {
     Router::new(named.clone(), seed)
 }
 
--- a/crates/expect/src/expectation.rs
+++ b/crates/expect/src/expectation.rs
@@ -145,7 +145,7 @@
         let size = section.value("size", tansyjunction_settings::number)?.unwrap_or(1.0);
         let roles = [("primary", true), ("replica", false)];
         let primary = section.value("role", |text| one_of("role", text, &roles))?.unwrap_or(false);
-        let standing = tansyjunction::interface::Standing::Serving;
+        let standing = tansyjunction::interface::ServerState::Serving;
         let zone = zone.unwrap_or(subject.own_zone);
         let added = subject.add(name, &shard.value.clone(), zone, size, standing, primary);
         added.map_err(|message| section.fault(message))?;
--- a/crates/expect/src/explore.rs
+++ b/crates/expect/src/explore.rs
@@ -113,7 +113,7 @@
 }
 
 /// Makes a router from settings and a seed.
-pub type Make<'a, S> = &'a dyn Fn(&Named, u64) -> Result<S, String>;
+pub type Make<'a, S> = &'a dyn Fn(&SettingsByName, u64) -> Result<S, String>;
 
 /// A subject as it looks from another zone.
 pub fn from_zone(subject: &Arc<Subject>, zone: usize) -> Arc<Subject> {
@@ -311,7 +311,11 @@
                 return;
             }
             let mut world = anchor.clone();
-            world.router.picks(Some(Picks { most: PICKS_MOST, told: told.clone(), drawn: Vec::new() }));
+            world.router.picks(Some(PrescribedDraws {
+                max_bound: PICKS_MOST,
+                values: told.clone(),
+                drawn: Vec::new(),
+            }));
             let before = world.calls;
             let stop = world.run();
             let drawn = world.router.picks(None).map_or(Vec::new(), |picks| picks.drawn);
@@ -461,7 +465,11 @@
     let coming = coming(&subject, expectation, setting.command, setting.shard);
     let mut world = World::begin(subject.clone(), make(&subject.named, setting.seed)?, start, coming);
     for choice in choices {
-        world.router.picks(Some(Picks { most: PICKS_MOST, told: choice.picks.clone(), drawn: Vec::new() }));
+        world.router.picks(Some(PrescribedDraws {
+            max_bound: PICKS_MOST,
+            values: choice.picks.clone(),
+            drawn: Vec::new(),
+        }));
         let stop = world.run();
         let Stop::Sent { dispatch, server, timeout } = stop else {
             let broken = judge::over(&expectation.must, &world, stop);
--- a/crates/expect/src/judge.rs
+++ b/crates/expect/src/judge.rs
@@ -132,9 +132,9 @@
         }
     }
     let drains =
-        truth.standing == Standing::Draining || truth.standing == Standing::Gone && figures.gone_binds;
+        truth.standing == ServerState::Draining || truth.standing == ServerState::Gone && figures.gone_binds;
     if drains && now > truth.told_at + figures.drain_grace {
-        let how = if truth.standing == Standing::Gone { "is gone" } else { "drains" };
+        let how = if truth.standing == ServerState::Gone { "is gone" } else { "drains" };
         let grace = time(figures.drain_grace);
         return broken(Cause::Rule(3), format!("{name} {how}, and was told so more than {grace} ago"));
     }
@@ -222,7 +222,7 @@
     subject.servers[server].zone == subject.own_zone
         && !truth.primary
         && truth.condition == Condition::Well
-        && truth.standing == Standing::Serving
+        && truth.standing == ServerState::Serving
         && !truth.cold(world.now, subject.figures.cold)
         && fresh
         && !truth.failed
@@ -239,9 +239,9 @@
         parts.push(format!("{} behind", time(truth.lag)));
     }
     match truth.standing {
-        Standing::Serving => {}
-        Standing::Draining => parts.push("draining".into()),
-        Standing::Gone => parts.push("gone".into()),
+        ServerState::Serving => {}
+        ServerState::Draining => parts.push("draining".into()),
+        ServerState::Gone => parts.push("gone".into()),
     }
     if truth.condition != Condition::Well {
         parts.push(format!("{:?}", truth.condition).to_lowercase());
--- a/crates/expect/src/report/narrate.rs
+++ b/crates/expect/src/report/narrate.rs
@@ -7,17 +7,17 @@
 use crate::world::{BEGIN, Change, Step, What};
 
 /// How a dispatch ended, in words.
-pub fn outcome(ending: Ending) -> &'static str {
+pub fn outcome(ending: DispatchEnd) -> &'static str {
     match ending {
-        Ending::Answered => "answered",
-        Ending::Errored => "an error; it may have run",
-        Ending::SentBack => "sent back, never run",
-        Ending::TimedOut => "no answer in time; it may have run",
-        Ending::Unconnected => "no connection, never run",
-        Ending::Reset => "the connection broke; it may have run",
-        Ending::Recalled => "called off; it may have run",
-        Ending::Unsent => "never sent",
-        Ending::Missed => "a miss, never run",
+        DispatchEnd::Answered => "answered",
+        DispatchEnd::Errored => "an error; it may have run",
+        DispatchEnd::SentBack => "sent back, never run",
+        DispatchEnd::TimedOut => "no answer in time; it may have run",
+        DispatchEnd::Unconnected => "no connection, never run",
+        DispatchEnd::Reset => "the connection broke; it may have run",
+        DispatchEnd::Recalled => "called off; it may have run",
+        DispatchEnd::Unsent => "never sent",
+        DispatchEnd::Missed => "a miss, never run",
     }
 }
 
@@ -39,15 +39,15 @@
                 n => format!("where to? (asked {n} times)"),
             };
             let answer = match place {
-                Place::Dispatch { server, timeout } => {
+                Placement::Dispatch { server, timeout } => {
                     format!("to {}, for {} at most", name(*server), time(*timeout))
                 }
-                Place::NotYet => "not yet".into(),
-                Place::Never(Final::Throttled { come_back: 0 }) => "throttled".into(),
-                Place::Never(Final::Throttled { come_back }) => {
+                Placement::Hold => "not yet".into(),
+                Placement::Abandon(FinalAnswer::Throttled { come_back: 0 }) => "throttled".into(),
+                Placement::Abandon(FinalAnswer::Throttled { come_back }) => {
                     format!("throttled, to come back after {}", time(*come_back))
                 }
-                Place::Never(Final::Failed) => "failed".into(),
+                Placement::Abandon(FinalAnswer::Failed) => "failed".into(),
             };
             format!("{}{asked} -> {answer}", of(*command))
         }
--- a/crates/expect/src/scope.rs
+++ b/crates/expect/src/scope.rs
@@ -1,7 +1,7 @@
 //! Sets of servers in words, such as `replica within 3s, primary`: phrases between commas, any of which may fit; all
 //! words of a phrase must.
 
-use tansyjunction::interface::{Micros, Standing};
+use tansyjunction::interface::{Micros, ServerState};
 use tansyjunction_settings::{duration, list, unknown};
 
 use crate::subject::Subject;
@@ -83,8 +83,8 @@
             Term::Server(named) => server == *named,
             Term::Within(lag) => truth.primary || truth.lag <= *lag,
             Term::Behind(lag) => !truth.primary && truth.lag > *lag,
-            Term::Draining => truth.standing == Standing::Draining,
-            Term::Gone => truth.standing == Standing::Gone,
+            Term::Draining => truth.standing == ServerState::Draining,
+            Term::Gone => truth.standing == ServerState::Gone,
             Term::Cold => truth.cold(now, subject.figures.cold),
             Term::Condition(condition) => truth.condition == *condition,
             Term::Listed => truth.listed_primary,
--- a/crates/expect/src/state.rs
+++ b/crates/expect/src/state.rs
@@ -134,7 +134,7 @@
     let base = calm(subject);
     let replicas: Vec<usize> = subject
         .members(shard)
-        .filter(|s| !base[*s].primary && base[*s].standing == Standing::Serving)
+        .filter(|s| !base[*s].primary && base[*s].standing == ServerState::Serving)
         .collect();
     for lag in lags.iter().flat_map(|lag| [*lag, *lag + BEYOND]) {
         for replica in &replicas {
@@ -159,7 +159,7 @@
     }
     let base = calm(subject);
     let members: Vec<usize> = subject.members(shard).collect();
-    let there = |server: &usize| base[*server].standing == Standing::Serving;
+    let there = |server: &usize| base[*server].standing == ServerState::Serving;
     let primary = members.iter().copied().find(|server| base[*server].primary);
     let replicas: Vec<usize> = members.iter().copied().filter(|s| Some(*s) != primary && there(s)).collect();
     let start = |name: String, truths: Vec<Truth>| Start { name, truths, warm: true, changes: Vec::new() };
@@ -202,8 +202,8 @@
             }
             found
         }
-        State::Draining => one("draining", &members, &|truth| truth.standing = Standing::Draining),
-        State::Gone => one("gone", &members, &|truth| truth.standing = Standing::Gone),
+        State::Draining => one("draining", &members, &|truth| truth.standing = ServerState::Draining),
+        State::Gone => one("gone", &members, &|truth| truth.standing = ServerState::Gone),
         State::Cold => one("cold", &members, &|truth| truth.started = Some(BEGIN - COLD_FOR)),
         State::NoPrimary => {
             let mut truths = base.clone();
@@ -345,9 +345,9 @@
         match (word, rest.as_str()) {
             ("primary", "") => (truth.primary, truth.lag) = (true, 0),
             ("replica", "") => truth.primary = false,
-            ("serving", "") => truth.standing = Standing::Serving,
-            ("draining", "") => truth.standing = Standing::Draining,
-            ("gone", "") => truth.standing = Standing::Gone,
+            ("serving", "") => truth.standing = ServerState::Serving,
+            ("draining", "") => truth.standing = ServerState::Draining,
+            ("gone", "") => truth.standing = ServerState::Gone,
             ("listed", "primary") => truth.listed_primary = true,
             ("listed", "replica") => truth.listed_primary = false,
             ("claims", "primary") => truth.claim = Claim::Primary,
@@ -380,9 +380,9 @@
                 match what {
                     "leads" => primary = true,
                     "follows" => primary = false,
-                    "serving" => standing = Standing::Serving,
-                    "draining" => standing = Standing::Draining,
-                    "gone" => standing = Standing::Gone,
+                    "serving" => standing = ServerState::Serving,
+                    "draining" => standing = ServerState::Draining,
+                    "gone" => standing = ServerState::Gone,
                     "restarted" => started = Some(BEGIN),
                     _ => return Err(format!("'{part}' is not understood")),
                 }
--- a/crates/expect/src/subject.rs
+++ b/crates/expect/src/subject.rs
@@ -63,7 +63,7 @@
     pub shard: usize,
     pub zone: usize,
     pub size: f64,
-    pub standing: Standing,
+    pub standing: ServerState,
     pub listed_primary: bool,
 }
 
@@ -95,7 +95,7 @@
     /// Where it was read.
     pub file: String,
     pub json: Json,
-    pub named: Named,
+    pub named: SettingsByName,
     pub zones: Vec<String>,
     pub own_zone: usize,
     pub command_groups: Vec<CommandGroup>,
@@ -167,7 +167,7 @@
         shard: &str,
         zone: usize,
         size: f64,
-        standing: Standing,
+        standing: ServerState,
         primary: bool,
     ) -> Result<(), String> {
         if self.servers.iter().any(|server| server.name == name) {
@@ -188,19 +188,19 @@
     }
 }
 
-fn number(named: &Named, name: &str, default: f64) -> f64 {
+fn number(named: &SettingsByName, name: &str, default: f64) -> f64 {
     if let Some(Value::Number(number)) = named.get(name) { *number } else { default }
 }
 
-fn text<'a>(named: &'a Named, name: &str) -> &'a str {
+fn text<'a>(named: &'a SettingsByName, name: &str) -> &'a str {
     if let Some(Value::Text(text)) = named.get(name) { text } else { "" }
 }
 
-fn flag(named: &Named, name: &str) -> bool {
+fn flag(named: &SettingsByName, name: &str) -> bool {
     named.get(name) == Some(&Value::Flag(true))
 }
 
-fn command_group(named: &Named, k: usize, json: &Json) -> Result<CommandGroup, String> {
+fn command_group(named: &SettingsByName, k: usize, json: &Json) -> Result<CommandGroup, String> {
     let name = json["name"].as_str().ok_or(format!("'settings.categories.{k}.name' is missing"))?;
     let part = |part: &str| format!("command_group.{k}.{part}");
     let time = |key: &str| number(named, &part(key), 0.0) as Micros;
@@ -225,7 +225,7 @@
     Ok(CommandGroup { name: name.into(), need, effect, response_target, client_timeout })
 }
 
-fn figures(named: &Named, settings: &Json) -> Figures {
+fn figures(named: &SettingsByName, settings: &Json) -> Figures {
     let time = |name: &str| number(named, name, 0.0) as Micros;
     let dial = settings["limits"]["dial_timeout"].as_f64().map(|nanos| (nanos / 1_000.0) as Micros);
     Figures {
--- a/crates/expect/src/truth.rs
+++ b/crates/expect/src/truth.rs
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Truth {
     /// As the list tells it, and since when (on the world's clock, in microseconds).
-    pub standing: Standing,
+    pub standing: ServerState,
     pub told_at: Micros,
     pub primary: bool,
     pub listed_primary: bool,
@@ -103,15 +103,15 @@
         FAULTS.iter().find(|(_, fault)| *fault == self).map_or("answer", |(word, _)| word)
     }
 
-    pub fn ending(self) -> Ending {
+    pub fn ending(self) -> DispatchEnd {
         match self {
-            Happens::Answer | Happens::Slow | Happens::Change => Ending::Answered,
-            Happens::Miss => Ending::Missed,
-            Happens::Error => Ending::Errored,
-            Happens::Full => Ending::SentBack,
-            Happens::Silence => Ending::TimedOut,
-            Happens::Unconnected => Ending::Unconnected,
-            Happens::Reset => Ending::Reset,
+            Happens::Answer | Happens::Slow | Happens::Change => DispatchEnd::Answered,
+            Happens::Miss => DispatchEnd::Missed,
+            Happens::Error => DispatchEnd::Errored,
+            Happens::Full => DispatchEnd::SentBack,
+            Happens::Silence => DispatchEnd::TimedOut,
+            Happens::Unconnected => DispatchEnd::Unconnected,
+            Happens::Reset => DispatchEnd::Reset,
         }
     }
 }
--- a/crates/expect/src/world.rs
+++ b/crates/expect/src/world.rs
@@ -32,7 +32,7 @@
     /// The list tells anew how this server stands.
     Told {
         server: usize,
-        standing: Standing,
+        standing: ServerState,
         primary: bool,
         started: Option<Micros>,
     },
@@ -62,7 +62,7 @@
 /// A command in the host's hands.
 #[derive(Clone, Debug, Default)]
 pub struct Hand {
-    pub held: Held,
+    pub held: PendingCommand,
     /// The final answer and when it was given.
     pub end: Option<(Micros, End)>,
     due: Micros,
@@ -86,14 +86,14 @@
     /// `place` was asked so many times in a row with the same answer.
     Asked {
         command: usize,
-        place: Place,
+        place: Placement,
         times: usize,
     },
     Ended {
         command: usize,
         dispatch: usize,
         server: usize,
-        ending: Ending,
+        ending: DispatchEnd,
         over: bool,
     },
     Recalled {
@@ -102,7 +102,7 @@
     },
     Probed {
         server: usize,
-        ending: Ending,
+        ending: DispatchEnd,
     },
     Changed(Change),
 }
@@ -209,14 +209,14 @@
         self.trail.push_back(Step { at: self.now, what });
     }
 
-    fn listed(&self, server: usize) -> Listed {
+    fn listed(&self, server: usize) -> ServerListEntry {
         let (facts, truth) = (&self.subject.servers[server], &self.truths[server]);
-        Listed {
+        ServerListEntry {
             server,
             group: facts.shard,
             zone: facts.zone,
             size: facts.size,
-            standing: truth.standing,
+            state: truth.standing,
             primary: truth.listed_primary,
             started: truth.started,
         }
@@ -224,14 +224,15 @@
 
     /// The whole list; who is gone is told as a change after it, as discovery would.
     fn list_all(&mut self) {
-        let entries: Vec<Listed> = (0..self.truths.len()).map(|server| self.listed(server)).collect();
-        let there = |entry: &&Listed| entry.standing != Standing::Gone;
-        let mut whole: Vec<Listed> = entries.clone();
-        for entry in whole.iter_mut().filter(|entry| entry.standing == Standing::Gone) {
-            entry.standing = Standing::Serving;
+        let entries: Vec<ServerListEntry> =
+            (0..self.truths.len()).map(|server| self.listed(server)).collect();
+        let there = |entry: &&ServerListEntry| entry.state != ServerState::Gone;
+        let mut whole: Vec<ServerListEntry> = entries.clone();
+        for entry in whole.iter_mut().filter(|entry| entry.state == ServerState::Gone) {
+            entry.state = ServerState::Serving;
         }
         self.router.listed(self.now, &whole, true);
-        let gone: Vec<Listed> = entries.iter().filter(|entry| !there(entry)).cloned().collect();
+        let gone: Vec<ServerListEntry> = entries.iter().filter(|entry| !there(entry)).cloned().collect();
         if !gone.is_empty() {
             self.router.listed(self.now, &gone, false);
         }
@@ -266,7 +267,7 @@
 
     fn tell_probe(&mut self, server: usize, took: Micros, happens: Happens) {
         let ending = happens.ending();
-        let report = (ending == Ending::Answered).then(|| self.report(server));
+        let report = (ending == DispatchEnd::Answered).then(|| self.report(server));
         if report.is_some_and(|report| report.primary == Some(false)) {
             self.truths[server].told_replica = true;
         }
@@ -311,10 +312,10 @@
                     session,
                     arrived: self.now,
                     client_timeout: self.now + timeout,
-                    written_ago: coming.written_ago.filter(|_| self.subject.figures.carried),
+                    last_write_age: coming.written_ago.filter(|_| self.subject.figures.carried),
                     customer: None,
                 };
-                let held = Held { command, dispatches: Vec::new() };
+                let held = PendingCommand { command, dispatches: Vec::new() };
                 self.hands[place] = Hand { held, idle_since: Some(self.now), ..Hand::default() };
                 self.note(What::Arrives { command: place });
                 // The host looks at what the router has due after each batch of events.
@@ -348,7 +349,7 @@
                     let (happens, after) = self.probe(server);
                     self.at(self.now + after, Due::Probe { server, happens });
                 }
-                self.at(self.now + wait.micros.max(1), Due::Router);
+                self.at(self.now + wait.after.max(1), Due::Router);
                 // One such question at a time will do: earlier ones that are still to come are void.
                 let later: Vec<(Micros, u32)> = self.routers_due();
                 for key in later.into_iter().skip(1) {
@@ -404,7 +405,7 @@
         self.calls += 1;
         let same = match self.trail.back() {
             Some(Step { what: What::Asked { command, place: before, times }, .. }) => {
-                (*command == place && *before == placed && placed == Place::NotYet).then_some(*times)
+                (*command == place && *before == placed && placed == Placement::Hold).then_some(*times)
             }
             _ => None,
         };
@@ -416,11 +417,11 @@
         }
         let mut stop = None;
         match placed {
-            Place::Dispatch { server, timeout } => {
+            Placement::Dispatch { server, timeout } => {
                 let now = self.now;
                 let hand = &mut self.hands[place];
                 let dispatch = hand.held.dispatches.len();
-                hand.held.dispatches.push(Dispatch::at_once(server, now));
+                hand.held.dispatches.push(Dispatch::written_immediately(server, now));
                 hand.idle_over(now);
                 let work = self.work(hand_group(&self.hands[place]));
                 self.sent.push_back((now, server, work));
@@ -430,11 +431,11 @@
                     self.happens(place, dispatch, server, timeout, None);
                 }
             }
-            Place::NotYet => {}
-            Place::Never(how) => {
+            Placement::Hold => {}
+            Placement::Abandon(how) => {
                 let end = match how {
-                    Final::Throttled { .. } => End::Throttled,
-                    Final::Failed => End::Failed,
+                    FinalAnswer::Throttled { .. } => End::Throttled,
+                    FinalAnswer::Failed => End::Failed,
                 };
                 self.end(place, end);
                 return None;
@@ -442,12 +443,12 @@
         }
         let wait = self.router.wait(self.now, Some(&self.hands[place].held));
         self.calls += 1;
-        let due = self.now + wait.micros.max(1);
+        let due = self.now + wait.after.max(1);
         if self.hands[place].due != due {
             self.hands[place].due = due;
             self.at(due, Due::Ask(place));
         }
-        for dispatch in wait.recall {
+        for dispatch in wait.cancel {
             // What was called off may be sent elsewhere at once.
             stop = self.recall(place, dispatch).or(stop);
         }
@@ -460,7 +461,7 @@
             return None;
         }
         self.note(What::Recalled { command, dispatch });
-        self.ends(command, dispatch, Ending::Recalled)
+        self.ends(command, dispatch, DispatchEnd::Recalled)
     }
 
     fn end(&mut self, place: usize, end: End) {
@@ -485,10 +486,10 @@
             Condition::Full => return Happens::Full,
             Condition::Well => {}
         }
-        if truth.standing == Standing::Draining {
+        if truth.standing == ServerState::Draining {
             return Happens::Full;
         }
-        if truth.standing == Standing::Gone && self.subject.figures.gone_binds {
+        if truth.standing == ServerState::Gone && self.subject.figures.gone_binds {
             return Happens::Unconnected;
         }
         let need = self.subject.command_groups[hand_group(&self.hands[place])].need;
@@ -564,7 +565,7 @@
         self.at(self.now + after.min(timeout), Due::Ends { command, dispatch, happens });
     }
 
-    fn ends(&mut self, place: usize, dispatch: usize, ending: Ending) -> Option<Stop> {
+    fn ends(&mut self, place: usize, dispatch: usize, ending: DispatchEnd) -> Option<Stop> {
         let now = self.now;
         let hand = &mut self.hands[place];
         let (sent, server) = match hand.held.dispatches.get_mut(dispatch) {
@@ -575,7 +576,7 @@
             _ => return None,
         };
         let was_over = hand.end.is_some();
-        let over = was_over || ending == Ending::Answered;
+        let over = was_over || ending == DispatchEnd::Answered;
         if over && !was_over {
             self.end(place, End::Answered { server });
         } else if !over && self.hands[place].held.dispatches.iter().all(|d| d.ended.is_some()) {
@@ -584,30 +585,39 @@
         let known = server < self.truths.len();
         let report = known.then(|| self.report(server));
         let figures = &self.subject.figures;
-        let telling =
-            matches!(ending, Ending::Answered | Ending::Missed | Ending::SentBack | Ending::Errored);
+        let telling = matches!(
+            ending,
+            DispatchEnd::Answered | DispatchEnd::Missed | DispatchEnd::SentBack | DispatchEnd::Errored
+        );
         let stated = report.filter(|_| telling && figures.stamped).unwrap_or_default();
         let report = report.filter(|_| telling && figures.reports);
         if known {
             let told = stated.primary == Some(false) || report.is_some_and(|r| r.primary == Some(false));
             let write = self.subject.command_groups[hand_group(&self.hands[place])].writes();
             let truth = &mut self.truths[server];
-            truth.told_replica |= told || write && ending == Ending::Missed;
-            truth.failed |= ending != Ending::Answered;
-        }
-        let outcome = Outcome { dispatch, ending, took: now - sent, over, stated, report };
+            truth.told_replica |= told || write && ending == DispatchEnd::Missed;
+            truth.failed |= ending != DispatchEnd::Answered;
+        }
+        let outcome = Outcome {
+            dispatch,
+            ending,
+            took: now - sent,
+            finished: over,
+            answer_report: stated,
+            load_report: report,
+        };
         let after = self.router.after(now, &self.hands[place].held, &outcome);
         self.calls += 1;
         self.note(What::Ended { command: place, dispatch, server, ending, over });
         self.at(now, Due::Router);
         match after {
-            After::Ask if !over => {
+            NextStep::PlaceAgain if !over => {
                 // On a machine time goes on between an outcome and the next question.
                 self.now += 1;
                 self.ask(place)
             }
-            After::Ask => None,
-            After::Over { recall } => {
+            NextStep::PlaceAgain => None,
+            NextStep::Finished { recall } => {
                 for dispatch in recall {
                     self.recall(place, dispatch);
                 }
--- a/crates/expect/tests/lying.rs
+++ b/crates/expect/tests/lying.rs
@@ -36,11 +36,11 @@
 }
 
 impl Steer for Liar {
-    fn listed(&mut self, now: Micros, entries: &[Listed], whole: bool) {
+    fn listed(&mut self, now: Micros, entries: &[ServerListEntry], whole: bool) {
         let mut entries = entries.to_vec();
         for entry in &mut entries {
             match self.lie {
-                Lie::IgnoresDrains => entry.standing = Standing::Serving,
+                Lie::IgnoresDrains => entry.state = ServerState::Serving,
                 Lie::IgnoresCold => entry.started = None,
                 _ => {}
             }
@@ -48,60 +48,63 @@
                 self.primaries.push(entry.server);
             }
         }
-        self.router.listed(now, Some(&entries), whole);
+        self.router.update_server_list(now, Some(&entries), whole);
     }
 
-    fn probed(&mut self, now: Micros, server: usize, took: Micros, end: Ending, report: Option<Report>) {
+    fn probed(&mut self, now: Micros, server: usize, took: Micros, end: DispatchEnd, report: Option<Report>) {
         let report = report.map(|report| match self.lie {
             Lie::IgnoresLag => Report { position: Some(now), ..report },
             _ => report,
         });
-        self.router.probed(now, server, took, end, report);
+        self.router.on_probe_result(now, server, took, end, report);
     }
 
-    fn place(&mut self, now: Micros, held: &Held) -> Place {
+    fn place(&mut self, now: Micros, held: &PendingCommand) -> Placement {
         let last = held.dispatches.last();
         let ran = last.is_some_and(|d| d.ended.is_some_and(|ended| !ended.never_ran()));
         let left = held.command.client_timeout.saturating_sub(now);
         match (self.lie, last) {
-            (Lie::NoAnswer, _) => return Place::NotYet,
+            (Lie::NoAnswer, _) => return Placement::Hold,
             (Lie::Resends, Some(last)) if ran && left > 0 => {
-                return Place::Dispatch { server: last.server, timeout: left };
+                return Placement::Dispatch { server: last.server, timeout: left };
             }
             (Lie::ResendsLate, Some(last)) if ran && now >= last.sent + 500_000 && left > 0 => {
-                return Place::Dispatch { server: last.server, timeout: left };
+                return Placement::Dispatch { server: last.server, timeout: left };
             }
-            (Lie::ResendsLate, Some(_)) if ran && left > 0 => return Place::NotYet,
+            (Lie::ResendsLate, Some(_)) if ran && left > 0 => return Placement::Hold,
             (Lie::Throttles, Some(_)) if ran => {
-                return Place::Never(Final::Throttled { come_back: 0 });
+                return Placement::Abandon(FinalAnswer::Throttled { come_back: 0 });
             }
             _ => {}
         }
         match self.router.place(now, held) {
-            Place::Dispatch { server, timeout } if self.lie == Lie::WritesToReplica => {
+            Placement::Dispatch { server, timeout } if self.lie == Lie::WritesToReplica => {
                 let server = if self.primaries.contains(&server) { server + 1 } else { server };
-                Place::Dispatch { server, timeout }
+                Placement::Dispatch { server, timeout }
             }
             other => other,
         }
     }
 
-    fn after(&mut self, now: Micros, held: &Held, outcome: &Outcome) -> After {
+    fn after(&mut self, now: Micros, held: &PendingCommand, outcome: &Outcome) -> NextStep {
         let mut outcome = outcome.clone();
         if self.lie == Lie::IgnoresLag {
-            outcome.stated.position = outcome.stated.position.map(|_| now);
+            outcome.answer_report.position = outcome.answer_report.position.map(|_| now);
         }
-        self.router.after(now, held, &outcome)
+        self.router.on_outcome(now, held, &outcome)
     }
 
-    fn wait(&mut self, now: Micros, held: Option<&Held>) -> Wait {
-        let wait = self.router.wait(now, held);
+    fn wait(&mut self, now: Micros, held: Option<&PendingCommand>) -> NextCheck {
+        let wait = self.router.next_check(now, held);
         // Its own answers have to be asked for soon enough.
-        Wait { micros: if held.is_some() { wait.micros.clamp(1_000, 100_000) } else { wait.micros }, ..wait }
+        NextCheck {
+            after: if held.is_some() { wait.after.clamp(1_000, 100_000) } else { wait.after },
+            ..wait
+        }
     }
 
-    fn picks(&mut self, picks: Option<Picks>) -> Option<Picks> {
-        self.router.picks(picks)
+    fn picks(&mut self, picks: Option<PrescribedDraws>) -> Option<PrescribedDraws> {
+        self.router.prescribe_draws(picks)
     }
 
     fn digest(&self) -> u64 {
@@ -158,7 +161,7 @@
         (Lie::IgnoresLag, &config, "rule 5"),
         (Lie::WritesToReplica, &config, "'only'"),
     ] {
-        let make = |named: &Named, seed: u64| {
+        let make = |named: &SettingsByName, seed: u64| {
             Ok(Liar { router: Router::new(named.clone(), seed)?, lie, primaries: Vec::new() })
         };
         let report = checked(&input(config.clone(), &[EXPECTED], "").expect("it is read"), &make);
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -65,7 +65,7 @@
     listener: Option<Listener>,
     /// Each step of each command is logged, and what members lacked for the one asked about last.
     steps: bool,
-    lacking: Vec<Lacking>,
+    lacking: Vec<MemberDiagnosis>,
     due: DueTimes<Due>,
     /// Clients whose next message may be taken.
     resume: Turns,
--- a/crates/gateway/src/gateway/clients.rs
+++ b/crates/gateway/src/gateway/clients.rs
@@ -193,10 +193,10 @@
             return;
         }
         if line.talk.phase == Phase::Ready {
-            self.finish_job(key, Ending::Unsent);
+            self.finish_job(key, DispatchEnd::Unsent);
             self.rest_line(key);
         } else {
-            self.end_line(key, Ending::Unsent);
+            self.end_line(key, DispatchEnd::Unsent);
         }
     }
 
@@ -296,7 +296,7 @@
             arrived: now,
             client_timeout,
             // A commit of this very moment still counts as one.
-            written_ago: head.after.map(|after| now.saturating_sub(at_millis(after)).max(1)),
+            last_write_age: head.after.map(|after| now.saturating_sub(at_millis(after)).max(1)),
             // Clients here do not say.
             customer: None,
         };
--- a/crates/gateway/src/gateway/commands.rs
+++ b/crates/gateway/src/gateway/commands.rs
@@ -29,27 +29,27 @@
             self.recall(command, dispatch);
         }
         match place {
-            Place::Dispatch { server, .. } if !self.may_go(command, server) => {
+            Placement::Dispatch { server, .. } if !self.may_go(command, server) => {
                 // To the router it is as a server that says it follows.
                 let stated = Report { primary: Some(false), ..Report::default() };
                 let said = Said { stated, ..Said::default() };
-                self.dispatch_ended(command, dispatch, Ending::Unsent, said);
+                self.dispatch_ended(command, dispatch, DispatchEnd::Unsent, said);
             }
-            Place::Dispatch { server, timeout } => {
+            Placement::Dispatch { server, timeout } => {
                 let job = Job::Command { command, dispatch };
                 if let Err(ending) = self.begin(server, job, now, now + timeout) {
                     self.dispatch_ended(command, dispatch, ending, Said::default());
                 }
             }
-            Place::NotYet => {}
-            Place::Never(last) => self.answer_finally(command, last),
+            Placement::Hold => {}
+            Placement::Abandon(last) => self.answer_finally(command, last),
         }
     }
 
     /// Gives the client a final answer other than a server's.
-    pub(super) fn answer_finally(&mut self, command: u64, last: Final) {
+    pub(super) fn answer_finally(&mut self, command: u64, last: FinalAnswer) {
         let error = match last {
-            Final::Throttled { come_back } => {
+            FinalAnswer::Throttled { come_back } => {
                 let advice = (come_back > 0).then(|| come_back.div_ceil(1_000).to_string());
                 frames::error(
                     "ERROR",
@@ -58,7 +58,9 @@
                     advice.as_deref(),
                 )
             }
-            Final::Failed => frames::error("ERROR", "58000", "the command failed; it may have run", None),
+            FinalAnswer::Failed => {
+                frames::error("ERROR", "58000", "the command failed; it may have run", None)
+            }
         };
         self.step_given_up(command, last);
         let Some(client) = self.clients.waiting_for(command) else { return };
@@ -87,7 +89,7 @@
         }
     }
 
-    pub(super) fn dispatch_ended(&mut self, command: u64, dispatch: usize, ending: Ending, said: Said) {
+    pub(super) fn dispatch_ended(&mut self, command: u64, dispatch: usize, ending: DispatchEnd, said: Said) {
         let now = self.clock.now();
         let Some(sent) = self.commands.sent(command, dispatch) else { return };
         self.heard_of_role(now, command, dispatch, ending, &said);
@@ -97,13 +99,13 @@
             dispatch,
             ending,
             took: said.at.unwrap_or(now).saturating_sub(sent),
-            over: ending == Ending::Answered,
-            stated: said.stated,
-            report: said.report,
+            finished: ending == DispatchEnd::Answered,
+            answer_report: said.stated,
+            load_report: said.report,
         };
         match self.commands.ended(&mut self.router, now, command, outcome) {
-            Some(After::Ask) => self.ask(command),
-            Some(After::Over { recall }) => {
+            Some(NextStep::PlaceAgain) => self.ask(command),
+            Some(NextStep::Finished { recall }) => {
                 for dispatch in recall {
                     self.recall(command, dispatch);
                 }
@@ -115,7 +117,7 @@
     /// Calls a dispatch off: its connection is closed.
     pub(super) fn recall(&mut self, command: u64, dispatch: usize) {
         if let Some(key) = self.servers.out(command, dispatch) {
-            self.end_line(key, Ending::Recalled);
+            self.end_line(key, DispatchEnd::Recalled);
         }
     }
 }
--- a/crates/gateway/src/gateway/company.rs
+++ b/crates/gateway/src/gateway/company.rs
@@ -231,22 +231,27 @@
                 let leads = leader.filter(|(name, _)| name == member).map(|(_, at)| at);
                 let Some(server) = self.servers_named.find(member) else { continue };
                 if bad.is_some() || leads.is_some() || waiting > 0.0 {
-                    self.router.told(now, &Hearsay { server, leads, bad, waiting });
+                    self.router.on_peer_observation(
+                        now,
+                        &PeerObservation { server, leading_at: leads, unusable_at: bad, mean_wait: waiting },
+                    );
                 }
             }
         }
         self.router_due = now;
     }
 
-    fn saw(&mut self, now: Micros, server: usize, ending: Ending, said: Report) {
+    fn saw(&mut self, now: Micros, server: usize, ending: DispatchEnd, said: Report) {
         let scouts = self.scouts(server);
         let Some(company) = &mut self.company else { return };
         let name = self.servers_named.name(server);
         let reach = match ending {
-            Ending::Answered | Ending::Errored | Ending::SentBack | Ending::Missed => Some(Fact::Answers),
-            Ending::Unconnected => Some(Fact::Refuses),
-            Ending::TimedOut => Some(Fact::Hangs),
-            Ending::Reset | Ending::Recalled | Ending::Unsent => None,
+            DispatchEnd::Answered | DispatchEnd::Errored | DispatchEnd::SentBack | DispatchEnd::Missed => {
+                Some(Fact::Answers)
+            }
+            DispatchEnd::Unconnected => Some(Fact::Refuses),
+            DispatchEnd::TimedOut => Some(Fact::Hangs),
+            DispatchEnd::Reset | DispatchEnd::Recalled | DispatchEnd::Unsent => None,
         };
         let role = said.primary.map(|leads| if leads { Fact::Leads } else { Fact::Follows });
         for fact in [reach, role, said.position.map(Fact::At)].into_iter().flatten() {
@@ -264,7 +269,7 @@
         now: Micros,
         command: u64,
         dispatch: usize,
-        ending: Ending,
+        ending: DispatchEnd,
         said: &Said,
     ) {
         let Some(held) = self.commands.held(command).filter(|_| self.company.is_some()) else { return };
@@ -274,21 +279,21 @@
         self.saw(now, server, ending, Report { position, ..said.stated });
     }
 
-    pub(super) fn saw_probe(&mut self, now: Micros, server: usize, ending: Ending, said: Report) {
+    pub(super) fn saw_probe(&mut self, now: Micros, server: usize, ending: DispatchEnd, said: Report) {
         if self.company.is_some() {
             self.saw(now, server, ending, said);
         }
     }
 
-    pub(super) fn list_tells_company(&mut self, now: Micros, entries: &[Listed]) {
+    pub(super) fn list_tells_company(&mut self, now: Micros, entries: &[ServerListEntry]) {
         let Some(company) = &mut self.company else { return };
         for entry in entries {
-            if entry.standing == tansyjunction::interface::Standing::Gone {
+            if entry.state == tansyjunction::interface::ServerState::Gone {
                 company.groups.remove(&entry.server);
             } else {
                 company.groups.insert(entry.server, entry.group);
             }
-            if entry.standing != tansyjunction::interface::Standing::Serving {
+            if entry.state != tansyjunction::interface::ServerState::Serving {
                 company.fellows.saw(now, self.servers_named.name(entry.server), Fact::Drains);
             }
         }
--- a/crates/gateway/src/gateway/council.rs
+++ b/crates/gateway/src/gateway/council.rs
@@ -186,14 +186,14 @@
         Planned { word, servers }
     }
 
-    pub(super) fn list_tells_council(&mut self, entries: &[Listed], whole: bool) {
+    pub(super) fn list_tells_council(&mut self, entries: &[ServerListEntry], whole: bool) {
         let Some(agreeing) = &mut self.agreeing else { return };
         let listed = agreeing.listed.get_or_insert_default();
         if whole {
             listed.clear();
         }
         for entry in entries {
-            listed.insert(entry.server, (entry.group, entry.standing != Standing::Serving));
+            listed.insert(entry.server, (entry.group, entry.state != ServerState::Serving));
         }
         self.tell_council(false);
     }
--- a/crates/gateway/src/gateway/discovery.rs
+++ b/crates/gateway/src/gateway/discovery.rs
@@ -81,7 +81,7 @@
     /// When it is asked anew if nothing comes before.
     pub(super) due: Reminder,
     /// The entries in force.
-    listed: BTreeMap<usize, Listed>,
+    listed: BTreeMap<usize, ServerListEntry>,
 }
 
 impl Default for Watch {
@@ -249,19 +249,19 @@
             }
         }
         for host in &list.hosts {
-            let gone = host.standing == Standing::Gone;
+            let gone = host.standing == ServerState::Gone;
             if gone && self.servers_named.find(&host.name).is_none() {
                 continue;
             }
             let server = self.servers_named.of(&host.name);
             left_out.remove(&server);
             let zones = &self.deployment.zones;
-            let entry = Listed {
+            let entry = ServerListEntry {
                 server,
                 group: self.groups.of(&host.group),
                 zone: zones.iter().position(|zone| *zone == host.zone).unwrap_or(zones.len()),
                 size: host.size,
-                standing: host.standing,
+                state: host.standing,
                 primary: host.primary,
                 started: host.started,
             };
@@ -280,7 +280,7 @@
         entries.reverse();
         entries.retain(|entry| last.insert(entry.server));
         entries.reverse();
-        self.router.listed(now, Some(&entries), list.whole);
+        self.router.update_server_list(now, Some(&entries), list.whole);
         self.router_due = now;
         self.list_tells(now, &entries);
         self.list_tells_company(now, &entries);
@@ -309,9 +309,10 @@
         }
         while let Some(server) = self.servers.forget(now) {
             let (group, zone, size) = (usize::MAX, 0, 0.0);
-            let standing = Standing::Gone;
-            let gone = Listed { server, group, zone, size, standing, primary: false, started: None };
-            self.router.listed(now, Some(&[gone]), false);
+            let standing = ServerState::Gone;
+            let gone =
+                ServerListEntry { server, group, zone, size, state: standing, primary: false, started: None };
+            self.router.update_server_list(now, Some(&[gone]), false);
             if let Some(holds) = &mut self.holds {
                 holds.handover.forget(server);
             }
--- a/crates/gateway/src/gateway/due.rs
+++ b/crates/gateway/src/gateway/due.rs
@@ -62,11 +62,11 @@
         }
         let now = self.clock.now();
         if self.router_due <= now {
-            let wait = self.router.wait(now, None);
-            self.router_due = now + wait.micros.max(1);
+            let wait = self.router.next_check(now, None);
+            self.router_due = now + wait.after.max(1);
             for server in wait.probes {
                 if let Some(ending) = self.instead_of_probe(now, server) {
-                    self.router.probed(now, server, 0, ending, None);
+                    self.router.on_probe_result(now, server, 0, ending, None);
                     continue;
                 }
                 let due = now + self.deployment.connect_within;
@@ -97,7 +97,7 @@
                     return;
                 }
                 if line.job.is_some() {
-                    self.end_line(key, Ending::TimedOut);
+                    self.end_line(key, DispatchEnd::TimedOut);
                 } else {
                     self.close_line(key);
                 }
--- a/crates/gateway/src/gateway/holds.rs
+++ b/crates/gateway/src/gateway/holds.rs
@@ -65,7 +65,7 @@
 
     /// Whether a command may go to the router now. One that is held may not; one that can't be held is answered.
     pub(super) fn admitted(&mut self, now: Micros, command: u64) -> bool {
-        let out = |held: &Held| held.dispatches.iter().any(|d| d.ended.is_none());
+        let out = |held: &PendingCommand| held.dispatches.iter().any(|d| d.ended.is_none());
         if self.holds.is_none() || self.commands.held(command).is_none_or(out) {
             return true;
         }
@@ -81,17 +81,17 @@
                 false
             }
             Admit::Throttle { come_back } => {
-                self.give_up(command, Final::Throttled { come_back });
+                self.give_up(command, FinalAnswer::Throttled { come_back });
                 false
             }
             Admit::Fail => {
-                self.give_up(command, Final::Failed);
+                self.give_up(command, FinalAnswer::Failed);
                 false
             }
         }
     }
 
-    fn give_up(&mut self, command: u64, last: Final) {
+    fn give_up(&mut self, command: u64, last: FinalAnswer) {
         self.commands.finish(command);
         self.answer_finally(command, last);
     }
@@ -116,7 +116,7 @@
         now: Micros,
         command: u64,
         dispatch: usize,
-        ending: Ending,
+        ending: DispatchEnd,
         said: &Said,
     ) {
         let Some(held) = self.commands.held(command).filter(|_| self.holds.is_some()) else { return };
@@ -126,12 +126,12 @@
         let Some(holds) = &mut self.holds else { return };
         let (stated, handover) = (said.stated, &mut holds.handover);
         match ending {
-            Ending::Answered if write => handover.answered(now, shard, server, command, stated.position),
-            Ending::Missed if write => handover.denies(now, shard, server, None),
-            Ending::Unconnected | Ending::Reset | Ending::TimedOut => {
+            DispatchEnd::Answered if write => handover.answered(now, shard, server, command, stated.position),
+            DispatchEnd::Missed if write => handover.denies(now, shard, server, None),
+            DispatchEnd::Unconnected | DispatchEnd::Reset | DispatchEnd::TimedOut => {
                 handover.lost(now, shard, server);
             }
-            Ending::Unsent | Ending::Recalled => {}
+            DispatchEnd::Unsent | DispatchEnd::Recalled => {}
             _ => self.told_role(now, shard, server, stated),
         }
     }
@@ -149,13 +149,13 @@
         &mut self,
         now: Micros,
         server: usize,
-        ending: Ending,
+        ending: DispatchEnd,
         report: Option<Report>,
         stated: Report,
     ) {
         let Some(shard) = self.servers.shard(server).filter(|_| self.holds.is_some()) else { return };
         if let Some(holds) = &mut self.holds
-            && matches!(ending, Ending::Unconnected | Ending::Reset | Ending::TimedOut)
+            && matches!(ending, DispatchEnd::Unconnected | DispatchEnd::Reset | DispatchEnd::TimedOut)
         {
             holds.handover.lost(now, shard, server);
             return;
@@ -167,15 +167,15 @@
         }
     }
 
-    pub(super) fn list_tells(&mut self, now: Micros, entries: &[Listed]) {
+    pub(super) fn list_tells(&mut self, now: Micros, entries: &[ServerListEntry]) {
         let gone_binds = self.deployment.gone_binds;
         for entry in entries {
             self.servers.in_shard(entry.server, entry.group);
             let Some(holds) = &mut self.holds else { continue };
-            let leaving = match entry.standing {
-                Standing::Serving => false,
-                Standing::Draining => true,
-                Standing::Gone => gone_binds,
+            let leaving = match entry.state {
+                ServerState::Serving => false,
+                ServerState::Draining => true,
+                ServerState::Gone => gone_binds,
             };
             holds.handover.listed(now, entry.group, entry.server, entry.primary, leaving);
         }
@@ -193,7 +193,8 @@
                 self.turned_council();
             }
             for (command, come_back) in due.give_up {
-                let last = come_back.map_or(Final::Failed, |come_back| Final::Throttled { come_back });
+                let last =
+                    come_back.map_or(FinalAnswer::Failed, |come_back| FinalAnswer::Throttled { come_back });
                 self.give_up(command, last);
             }
             for server in due.looks {
--- a/crates/gateway/src/gateway/scout.rs
+++ b/crates/gateway/src/gateway/scout.rs
@@ -46,7 +46,7 @@
 
 impl Gateway {
     /// How a probe ended that the scout's word stands in for. None: it is to be sent.
-    pub(super) fn instead_of_probe(&mut self, now: Micros, server: usize) -> Option<Ending> {
+    pub(super) fn instead_of_probe(&mut self, now: Micros, server: usize) -> Option<DispatchEnd> {
         let group = self.servers.shard(server).filter(|_| self.scouting.is_some())?;
         let scout = self.scout_of(self.groups.name(group));
         let (company, scouting) = (self.company.as_ref()?, self.scouting.as_mut()?);
@@ -66,7 +66,7 @@
         match scouting.scout.instead(now, server, &known) {
             Some(found) => {
                 counts.1 += 1;
-                Some(if found == Found::Hangs { Ending::TimedOut } else { Ending::Unconnected })
+                Some(if found == Found::Hangs { DispatchEnd::TimedOut } else { DispatchEnd::Unconnected })
             }
             None => {
                 scouting.out.insert((group, server));
--- a/crates/gateway/src/gateway/servers.rs
+++ b/crates/gateway/src/gateway/servers.rs
@@ -16,7 +16,13 @@
 impl Gateway {
     /// Gives a job to an idle connection or a new one, and tells which; Err tells how it ended where neither is to be
     /// had.
-    pub(super) fn begin(&mut self, server: usize, job: Job, now: Micros, due: Micros) -> Result<u64, Ending> {
+    pub(super) fn begin(
+        &mut self,
+        server: usize,
+        job: Job,
+        now: Micros,
+        due: Micros,
+    ) -> Result<u64, DispatchEnd> {
         // Probes keep connections in use that commands leave alone.
         while let Some(key) = self.servers.take_idle(server, job != Job::Probe) {
             if self.servers.get(key).is_some_and(Line::is_quiet) {
@@ -27,10 +33,10 @@
             }
             self.close_line(key);
         }
-        let Some(address) = self.servers.address(server) else { return Err(Ending::Unsent) };
+        let Some(address) = self.servers.address(server) else { return Err(DispatchEnd::Unsent) };
         if !self.room_for_one(false) {
             warn!(target: "limits", "no descriptor left for a connection to {}", self.servers_named.name(server));
-            return Err(Ending::Unsent);
+            return Err(DispatchEnd::Unsent);
         }
         let key = self.number();
         let stream = match self.connect(address) {
@@ -39,11 +45,15 @@
                 warn!(target: "servers", "{}: {error}", self.servers_named.name(server));
                 // Guards against servers taken for ones that refuse where it is this process that has no
                 // descriptor left.
-                return Err(if is_no_descriptor(&error) { Ending::Unsent } else { Ending::Unconnected });
+                return Err(if is_no_descriptor(&error) {
+                    DispatchEnd::Unsent
+                } else {
+                    DispatchEnd::Unconnected
+                });
             }
         };
         let watched = self.watch(stream, move |gateway, readiness| gateway.line_ready(key, readiness));
-        let Ok((stream, token)) = watched else { return Err(Ending::Unsent) };
+        let Ok((stream, token)) = watched else { return Err(DispatchEnd::Unsent) };
         self.step_opened(server, &job);
         self.servers.add(key, Line::new(server, stream, token, now));
         self.servers.begin(key, job, due);
@@ -62,7 +72,7 @@
         if line.talk.phase == Phase::Connecting {
             if let Ok(Some(error)) | Err(error) = line.stream.take_error() {
                 line.reopened |= error.kind() == std::io::ErrorKind::ConnectionRefused;
-                self.end_line(key, Ending::Unconnected);
+                self.end_line(key, DispatchEnd::Unconnected);
                 return;
             }
             if !readiness.writable || line.stream.peer_addr().is_err() {
@@ -70,7 +80,7 @@
             }
             line.talk.phase = Phase::Starting;
             if line.outbox.write(&line.stream, &[frames::START]).is_err() {
-                self.end_line(key, Ending::Unconnected);
+                self.end_line(key, DispatchEnd::Unconnected);
                 return;
             }
         } else if readiness.writable && !line.outbox.is_empty() {
@@ -80,7 +90,7 @@
             }
             let Some(line) = self.servers.get(key) else { return };
             if line.outbox.flush(&line.stream).is_err() {
-                self.end_line(key, Ending::Reset);
+                self.end_line(key, DispatchEnd::Reset);
                 return;
             }
             if line.outbox.is_empty() && line.talk.phase == Phase::Busy {
@@ -113,7 +123,7 @@
                     // Guards against a statement that was turned away half written, and whose rest would go out
                     // on the resting connection while the command is on its way again.
                     let ended = line.ended || !line.outbox.is_empty();
-                    self.finish_job(key, Ending::Reset);
+                    self.finish_job(key, DispatchEnd::Reset);
                     if ended {
                         self.close_line(key);
                     } else {
@@ -122,7 +132,7 @@
                 }
                 Heard::Nothing if !line.ended => return,
                 Heard::Nothing => {
-                    self.end_line(key, Ending::Reset);
+                    self.end_line(key, DispatchEnd::Reset);
                     return;
                 }
                 Heard::Nonsense => {
@@ -144,9 +154,9 @@
             line.talk.said = Said::default();
         }
         let ending = match line.job {
-            _ if !started => Ending::Reset,
-            Some(Job::Probe) => Ending::Recalled,
-            _ => Ending::Errored,
+            _ if !started => DispatchEnd::Reset,
+            Some(Job::Probe) => DispatchEnd::Recalled,
+            _ => DispatchEnd::Errored,
         };
         self.end_line(key, ending);
     }
@@ -191,7 +201,7 @@
         if self.servers.get(key).is_some_and(|line| line.ended) {
             // Guards against a statement that is written to a connection that ended behind its startup, and
             // then counts as one that may have run.
-            self.end_line(key, Ending::Unconnected);
+            self.end_line(key, DispatchEnd::Unconnected);
             return;
         }
         if !self.may_write(key) {
@@ -219,7 +229,7 @@
         let Some(line) = self.servers.get(key) else { return };
         line.talk.phase = Phase::Busy;
         if written.is_err() {
-            self.end_line(key, Ending::Unconnected);
+            self.end_line(key, DispatchEnd::Unconnected);
         } else if line.outbox.is_empty() {
             self.wrote(key, now);
         }
@@ -238,7 +248,7 @@
     }
 
     /// Tells the router how the job of a connection ended: as the server said, or else by `ending`.
-    pub(super) fn finish_job(&mut self, key: u64, ending: Ending) {
+    pub(super) fn finish_job(&mut self, key: u64, ending: DispatchEnd) {
         let Some(line) = self.servers.get(key) else { return };
         let said = std::mem::take(&mut line.talk.said);
         let (server, written) = (line.server, line.written);
@@ -252,7 +262,7 @@
         &mut self,
         server: usize,
         job: Job,
-        ending: Ending,
+        ending: DispatchEnd,
         said: Said,
         written: Option<Micros>,
     ) {
@@ -264,7 +274,7 @@
                 self.heard_by_probe(now, server, ending, said.row.or(said.report), said.stated);
                 self.scout_probed(server);
                 self.saw_probe(now, server, ending, said.row.or(said.report).unwrap_or(said.stated));
-                self.router.probed(now, server, took, ending, said.row.or(said.report));
+                self.router.on_probe_result(now, server, took, ending, said.row.or(said.report));
                 self.router_due = now;
             }
         }
@@ -281,7 +291,7 @@
     }
 
     /// A connection has ended, and so has its job, unless another one takes it over.
-    pub(super) fn end_line(&mut self, key: u64, ending: Ending) {
+    pub(super) fn end_line(&mut self, key: u64, ending: DispatchEnd) {
         if !self.reopen(key, ending) {
             self.finish_job(key, ending);
             self.close_line(key);
@@ -290,9 +300,10 @@
 
     /// A connection that was taken and broke before its statement is opened once more. Guards against taking a server
     /// that resets some new connections for one that is gone, which refuses them.
-    pub(super) fn reopen(&mut self, key: u64, ending: Ending) -> bool {
+    pub(super) fn reopen(&mut self, key: u64, ending: DispatchEnd) -> bool {
         let Some(line) = self.servers.get(key) else { return false };
-        let broke = matches!(ending, Ending::Unconnected | Ending::Reset) && line.talk.said.ending.is_none();
+        let broke = matches!(ending, DispatchEnd::Unconnected | DispatchEnd::Reset)
+            && line.talk.said.ending.is_none();
         let new = matches!(line.talk.phase, Phase::Connecting | Phase::Starting | Phase::Ready);
         if !broke || !new || line.reopened {
             return false;
--- a/crates/gateway/src/gateway/steps.rs
+++ b/crates/gateway/src/gateway/steps.rs
@@ -13,10 +13,10 @@
 }
 
 /// A number for each lack, with what tells a cold member and a primary: `primary:Room cold:Warmth Freshness`.
-fn in_words(lacking: &[Lacking]) -> String {
-    let word = |one: &Lacking| {
+fn in_words(lacking: &[MemberDiagnosis]) -> String {
+    let word = |one: &MemberDiagnosis| {
         let cold = if one.cold { "cold:" } else { "" };
-        format!("{}{cold}{:?}", if one.primary { "primary:" } else { "" }, one.lack)
+        format!("{}{cold}{:?}", if one.primary { "primary:" } else { "" }, one.missing)
     };
     let mut words: Vec<String> = lacking.iter().map(word).collect();
     words.sort();
@@ -44,8 +44,8 @@
         self.lacking = self.router.lacks(now, held);
     }
 
-    pub(super) fn step_placed(&self, command: u64, place: &Place) {
-        let Place::Dispatch { server, .. } = place else { return };
+    pub(super) fn step_placed(&self, command: u64, place: &Placement) {
+        let Placement::Dispatch { server, .. } = place else { return };
         if !self.steps {
             return;
         }
@@ -63,15 +63,15 @@
         }
     }
 
-    pub(super) fn step_ended(&self, at: Micros, command: u64, dispatch: usize, ending: Ending) {
+    pub(super) fn step_ended(&self, at: Micros, command: u64, dispatch: usize, ending: DispatchEnd) {
         if self.steps {
             debug!(target: "commands", step = "ended", command, at, dispatch, ending = ?ending);
         }
     }
 
-    pub(super) fn step_given_up(&self, command: u64, last: Final) {
+    pub(super) fn step_given_up(&self, command: u64, last: FinalAnswer) {
         if self.steps {
-            let what = if last == Final::Failed { "failed" } else { "throttled" };
+            let what = if last == FinalAnswer::Failed { "failed" } else { "throttled" };
             let (at, lacks) = (self.clock.now(), in_words(&self.lacking));
             debug!(target: "commands", step = "over", command, at, what, lacks);
         }
--- a/crates/gateway/src/wire/directory/tests.rs
+++ b/crates/gateway/src/wire/directory/tests.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use super::*;
-use tansyjunction::interface::Standing;
+use tansyjunction::interface::ServerState;
 
 const ENTRY: &str = r#"{"host":"s1","dial":"127.0.0.1:9","site":"a","class":"t","block":3,"health":"up","share":1.5,
     "born_ms":1767225600123,"recovery":"off"}"#;
@@ -211,7 +211,7 @@
         assert_eq!(lists.iter().map(|list| list.version).collect::<Vec<_>>(), [41, 42], "split at {split}");
         let host = &lists[1].hosts[0];
         assert_eq!((host.group.as_str(), host.size, host.primary), ("3", 1.5, true));
-        assert_eq!((host.started, host.standing), (Some(1_767_225_600_123_000), Standing::Serving));
+        assert_eq!((host.started, host.standing), (Some(1_767_225_600_123_000), ServerState::Serving));
     }
 }
 
--- a/crates/gateway/src/wire/server.rs
+++ b/crates/gateway/src/wire/server.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use calloop::RegistrationToken;
-use tansyjunction::interface::{Ending, Micros, Report};
+use tansyjunction::interface::{DispatchEnd, Micros, Report};
 use tansyjunction_hosting::{Reminder, at_millis};
 
 use crate::wire::bytes::{Inbox, Outbox, Reading};
@@ -40,7 +40,7 @@
 /// What the server said since the statement.
 #[derive(Default)]
 pub struct Said {
-    pub ending: Option<Ending>,
+    pub ending: Option<DispatchEnd>,
     pub stated: Report,
     pub report: Option<Report>,
     /// The report that the row holds, where a probe asked for it.
@@ -109,7 +109,7 @@
                 (Phase::Starting, b'E') => {
                     // Turned away before it was asked anything; else it was just not reached.
                     let ending = frames::error_code(body).map(ending_of);
-                    self.said.ending = ending.filter(|ending| *ending == Ending::SentBack);
+                    self.said.ending = ending.filter(|ending| *ending == DispatchEnd::SentBack);
                     return Heard::Nonsense;
                 }
                 (Phase::Busy, b'E') if self.said.ending.is_none() => {
@@ -129,7 +129,7 @@
                     if self.answer.len() == 2 && self.said.ending.is_none() && frames::is_one_row(body) =>
                 {
                     self.answer.push(here);
-                    self.said.ending = Some(Ending::Answered);
+                    self.said.ending = Some(DispatchEnd::Answered);
                     self.said.at = Some(now);
                     return Heard::Answer(self.answer.clone());
                 }
@@ -202,14 +202,14 @@
 
 impl Said {
     /// How a job ended: as the server said, or else by what happened to the connection.
-    pub fn ending_by(&self, probe: bool, written: bool, happened: Ending) -> Ending {
+    pub fn ending_by(&self, probe: bool, written: bool, happened: DispatchEnd) -> DispatchEnd {
         match self.ending {
             Some(ending) => ending,
             // Guards against a probe that found no way through in its time being told as a refused connection, which
             // keeps a member shut after the way is back.
-            None if probe && happened == Ending::TimedOut => happened,
+            None if probe && happened == DispatchEnd::TimedOut => happened,
             // What was not written whole can't have run.
-            None if !written && happened != Ending::Unsent => Ending::Unconnected,
+            None if !written && happened != DispatchEnd::Unsent => DispatchEnd::Unconnected,
             None => happened,
         }
     }
@@ -228,11 +228,11 @@
 }
 
 /// How a dispatch ended by the code of its error.
-fn ending_of(code: &str) -> Ending {
+fn ending_of(code: &str) -> DispatchEnd {
     match code {
-        "25006" | "72000" => Ending::Missed,
-        "53300" => Ending::SentBack,
-        _ => Ending::Errored,
+        "25006" | "72000" => DispatchEnd::Missed,
+        "53300" => DispatchEnd::SentBack,
+        _ => DispatchEnd::Errored,
     }
 }
 
@@ -293,7 +293,7 @@
             }
             assert_eq!(heard, ["answer", "done"], "split at {split}");
             let said = &talk.said;
-            assert_eq!((said.ending, said.at), (Some(Ending::Answered), Some(7)));
+            assert_eq!((said.ending, said.at), (Some(DispatchEnd::Answered), Some(7)));
             assert_eq!(
                 (said.stated.primary, said.stated.position),
                 (Some(true), Some(1_767_225_600_123_000))
@@ -328,7 +328,7 @@
 
     #[test]
     fn what_was_not_said_is_told_by_the_connection() {
-        use Ending::*;
+        use DispatchEnd::*;
         // What the server said, whether a probe, whether written whole, what happened, and the ending.
         for (said, probe, written, happened, ending) in [
             (None, false, true, TimedOut, TimedOut),
@@ -360,19 +360,24 @@
         let whole = answer(COLUMN, one, done);
         let parts = vec![0..row.len(), row.len()..whole.len() - 14, whole.len() - 14..whole.len()];
         for (what, said, heard, ending) in [
-            ("a write at a replica", error("25006"), Heard::Done, Some(Ending::Missed)),
-            ("too far behind", error("72000"), Heard::Done, Some(Ending::Missed)),
-            ("an error", error("XX000"), Heard::Done, Some(Ending::Errored)),
-            ("another error", error("57P03"), Heard::Done, Some(Ending::Errored)),
-            ("an error half way", [row.clone(), error("XX000")].concat(), Heard::Done, Some(Ending::Errored)),
-            ("turned away", error("53300"), Heard::Done, Some(Ending::SentBack)),
+            ("a write at a replica", error("25006"), Heard::Done, Some(DispatchEnd::Missed)),
+            ("too far behind", error("72000"), Heard::Done, Some(DispatchEnd::Missed)),
+            ("an error", error("XX000"), Heard::Done, Some(DispatchEnd::Errored)),
+            ("another error", error("57P03"), Heard::Done, Some(DispatchEnd::Errored)),
+            (
+                "an error half way",
+                [row.clone(), error("XX000")].concat(),
+                Heard::Done,
+                Some(DispatchEnd::Errored),
+            ),
+            ("turned away", error("53300"), Heard::Done, Some(DispatchEnd::SentBack)),
             ("ready without an answer", vec![], Heard::Nonsense, None),
             ("an answer without a row", [row, message(b'C', b"SELECT 0\0")].concat(), Heard::Nonsense, None),
             ("a length below its own", b"E\0\0\0\x01".to_vec(), Heard::Nonsense, None),
             ("a length beyond all", b"E\x7f\0\0\x01".to_vec(), Heard::Nonsense, None),
             ("an empty error", message(b'E', b""), Heard::Nonsense, None),
             ("an error without an end", message(b'E', b"C53300\0"), Heard::Nonsense, None),
-            ("an answer", whole.clone(), Heard::Answer(parts), Some(Ending::Answered)),
+            ("an answer", whole.clone(), Heard::Answer(parts), Some(DispatchEnd::Answered)),
             ("a row described as two", answer(b"\0\x02", one, done), Heard::Nonsense, None),
             ("a description cut short", answer(&COLUMN[..15], one, done), Heard::Nonsense, None),
             ("two columns", answer(COLUMN, b"\0\x02\0\0\0\x02hi", done), Heard::Nonsense, None),
--- a/crates/handover/tests/model.rs
+++ b/crates/handover/tests/model.rs
@@ -86,7 +86,7 @@
     ticks: u8,
     router: Router,
     handover: Handover,
-    held: Vec<Held>,
+    held: Vec<PendingCommand>,
     /// Writes that the router is asked about at the next tick.
     asked: BTreeSet<usize>,
     ends: Vec<Vec<End>>,
@@ -118,7 +118,7 @@
 
     fn marks(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
-        self.router.digest(&mut hasher);
+        self.router.hash_state(&mut hasher);
         self.handover.hash(&mut hasher);
         for held in &self.held {
             for d in &held.dispatches {
@@ -165,8 +165,8 @@
         Checked { mistake, keyed: keyed.to_vec(), left, looks: false }
     }
 
-    fn named(&self) -> Named {
-        let mut named = Named::new();
+    fn named(&self) -> SettingsByName {
+        let mut named = SettingsByName::new();
         let mut put = |name: &str, value: Value| named.insert(name.into(), value);
         put("command_groups", Value::Number(2.0));
         put("limits.max_dispatches", Value::Number(4.0));
@@ -237,9 +237,9 @@
             return;
         }
         match state.router.place(now, &state.held[write]) {
-            Place::Dispatch { server, .. } => {
+            Placement::Dispatch { server, .. } => {
                 let dispatch = state.held[write].dispatches.len();
-                state.held[write].dispatches.push(Dispatch::at_once(server, now));
+                state.held[write].dispatches.push(Dispatch::written_immediately(server, now));
                 let barred = {
                     let status = &state.handover.status()[0];
                     status.fenced.contains(&server) || status.phase == Phase::InDoubt
@@ -250,15 +250,15 @@
                     state.messages.insert(Message::Request { write, dispatch, server, sent });
                     state.asked.remove(&write);
                 } else {
-                    self.outcome(state, write, dispatch, Ending::Unsent, false);
+                    self.outcome(state, write, dispatch, DispatchEnd::Unsent, false);
                     state.asked.insert(write);
                 }
             }
-            Place::NotYet => {
+            Placement::Hold => {
                 state.asked.insert(write);
             }
-            Place::Never(Final::Failed) => self.end(state, write, End::Failed),
-            Place::Never(Final::Throttled { .. }) => self.end(state, write, End::Throttled),
+            Placement::Abandon(FinalAnswer::Failed) => self.end(state, write, End::Failed),
+            Placement::Abandon(FinalAnswer::Throttled { .. }) => self.end(state, write, End::Throttled),
         }
     }
 
@@ -270,7 +270,7 @@
     }
 
     /// A dispatch ended so.
-    fn outcome(&self, state: &mut State, write: usize, dispatch: usize, ending: Ending, told: bool) {
+    fn outcome(&self, state: &mut State, write: usize, dispatch: usize, ending: DispatchEnd, told: bool) {
         let now = state.now();
         let Some(found) = state.held[write].dispatches.get_mut(dispatch) else { return };
         if found.ended.is_some() {
@@ -278,22 +278,31 @@
         }
         found.ended = Some(ending);
         let (server, sent) = (found.server, found.sent);
-        let over = !state.ends[write].is_empty() || ending == Ending::Answered;
+        let over = !state.ends[write].is_empty() || ending == DispatchEnd::Answered;
         let leads = state.servers[server].leads;
         let stated =
             Report { primary: told.then_some(leads), position: told.then_some(now), ..Report::default() };
-        let outcome = Outcome { dispatch, ending, took: now - sent, over, stated, report: None };
-        state.router.after(now, &state.held[write], &outcome);
+        let outcome = Outcome {
+            dispatch,
+            ending,
+            took: now - sent,
+            finished: over,
+            answer_report: stated,
+            load_report: None,
+        };
+        state.router.on_outcome(now, &state.held[write], &outcome);
         match ending {
-            Ending::Answered => {
+            DispatchEnd::Answered => {
                 state.handover.answered(now, 0, server, write as u64, Some(now));
                 if state.ends[write].is_empty() {
                     self.end(state, write, End::Answered);
                 }
                 return;
             }
-            Ending::Missed => state.handover.denies(now, 0, server, Some(now)),
-            Ending::Unconnected | Ending::Reset | Ending::TimedOut => state.handover.lost(now, 0, server),
+            DispatchEnd::Missed => state.handover.denies(now, 0, server, Some(now)),
+            DispatchEnd::Unconnected | DispatchEnd::Reset | DispatchEnd::TimedOut => {
+                state.handover.lost(now, 0, server)
+            }
             _ => return,
         }
         if state.ends[write].is_empty() {
@@ -302,14 +311,14 @@
     }
 
     /// A server takes a request: what it answers at once; None: nothing, or it will answer with a message.
-    fn serve(&self, state: &mut State, write: usize, dispatch: usize, server: usize) -> Option<Ending> {
+    fn serve(&self, state: &mut State, write: usize, dispatch: usize, server: usize) -> Option<DispatchEnd> {
         let now = state.now();
         let there = state.servers[server];
         if there.down {
-            return Some(Ending::Unconnected);
+            return Some(DispatchEnd::Unconnected);
         }
         if !there.leads {
-            return Some(Ending::Missed);
+            return Some(DispatchEnd::Missed);
         }
         if there.stuck.is_some() {
             // An old primary that nobody follows: no replica takes its commit, so it never answers.
@@ -347,7 +356,7 @@
         let there = state.servers[server];
         let position = there.stuck.unwrap_or(now);
         let report = Report { primary: Some(there.leads), position: Some(position), ..Report::default() };
-        state.router.probed(now, server, 1_000, Ending::Answered, Some(report));
+        state.router.on_probe_result(now, server, 1_000, DispatchEnd::Answered, Some(report));
         match there.leads {
             true => state.handover.claims(now, 0, server, Some(position)),
             false => state.handover.denies(now, 0, server, Some(position)),
@@ -361,16 +370,16 @@
 
     fn init_states(&self) -> Vec<State> {
         let mut router = Router::new(self.named(), 7).expect("settings make sense");
-        let entry = |server: usize| Listed {
+        let entry = |server: usize| ServerListEntry {
             server,
             group: 0,
             zone: 0,
             size: 1.0,
-            standing: Standing::Serving,
+            state: ServerState::Serving,
             primary: server == 0,
             started: None,
         };
-        router.listed(START - 2, Some(&[entry(0), entry(1)]), true);
+        router.update_server_list(START - 2, Some(&[entry(0), entry(1)]), true);
         let look_every = if self.looks { TICK } else { 0 };
         let figures = Figures { look_every, usual: 2 * TICK, gap: 1_000, ..Figures::default() };
         let mut servers = [Server::default(); SERVERS];
@@ -397,7 +406,7 @@
                 client_timeout: START + TIMEOUT,
                 ..Command::default()
             };
-            state.held.push(Held { command, dispatches: Vec::new() });
+            state.held.push(PendingCommand { command, dispatches: Vec::new() });
             self.ask(&mut state, write);
         }
         vec![state]
@@ -446,7 +455,7 @@
                     for dispatch in 0..state.held[write].dispatches.len() {
                         let out = state.held[write].dispatches[dispatch].ended.is_none();
                         if out && now >= state.held[write].command.client_timeout {
-                            self.outcome(&mut state, write, dispatch, Ending::TimedOut, false);
+                            self.outcome(&mut state, write, dispatch, DispatchEnd::TimedOut, false);
                         }
                     }
                 }
@@ -459,11 +468,11 @@
                 match message {
                     Message::Request { write, dispatch, server, .. } => {
                         if let Some(ending) = self.serve(&mut state, write, dispatch, server) {
-                            self.outcome(&mut state, write, dispatch, ending, ending == Ending::Missed);
+                            self.outcome(&mut state, write, dispatch, ending, ending == DispatchEnd::Missed);
                         }
                     }
                     Message::Answer { write, dispatch, .. } => {
-                        self.outcome(&mut state, write, dispatch, Ending::Answered, true);
+                        self.outcome(&mut state, write, dispatch, DispatchEnd::Answered, true);
                     }
                 }
             }
@@ -473,7 +482,7 @@
                 // The connection breaks with it.
                 let (Message::Request { write, dispatch, .. } | Message::Answer { write, dispatch, .. }) =
                     message;
-                self.outcome(&mut state, write, dispatch, Ending::Reset, false);
+                self.outcome(&mut state, write, dispatch, DispatchEnd::Reset, false);
             }
             Action::Kill => {
                 state.left.kills -= 1;
--- a/crates/handover/tests/release.rs
+++ b/crates/handover/tests/release.rs
@@ -17,8 +17,8 @@
 /// It is warm by then, and warms evenly.
 const COLD: Micros = 10_000 * MS;
 
-fn named(gateways: usize) -> Named {
-    let mut named = Named::new();
+fn named(gateways: usize) -> SettingsByName {
+    let mut named = SettingsByName::new();
     let mut put = |name: &str, value: Value| named.insert(name.into(), value);
     for (name, value) in [
         ("command_groups", 1.0),
@@ -45,7 +45,7 @@
 struct Gateway {
     router: Router,
     handover: Handover,
-    held: BTreeMap<u64, Held>,
+    held: BTreeMap<u64, PendingCommand>,
     /// Those that are with the router, and when it is asked again.
     asked: BTreeMap<u64, Micros>,
     /// Dispatches that are out, by when they end.
@@ -58,20 +58,20 @@
     let mut all: Vec<Gateway> = (0..gateways)
         .map(|number| {
             let mut router = Router::new(named(gateways), number as u64).expect("settings make sense");
-            let entry = |server: usize, started| Listed {
+            let entry = |server: usize, started| ServerListEntry {
                 server,
                 group: 0,
                 zone: 0,
                 size: 1.0,
-                standing: Standing::Serving,
+                state: ServerState::Serving,
                 primary: server == 0,
                 started,
             };
-            router.listed(START, Some(&[entry(0, None), entry(1, Some(START))]), true);
+            router.update_server_list(START, Some(&[entry(0, None), entry(1, Some(START))]), true);
             let report =
                 |primary| Some(Report { primary: Some(primary), position: Some(START), ..Report::default() });
-            router.probed(START, 0, MS, Ending::Answered, report(false));
-            router.probed(START, 1, MS, Ending::Answered, report(true));
+            router.on_probe_result(START, 0, MS, DispatchEnd::Answered, report(false));
+            router.on_probe_result(START, 1, MS, DispatchEnd::Answered, report(true));
             let figures = Figures { gateways: gateways as u64, ..Figures::default() };
             let mut handover = Handover::new(figures, number as u64);
             handover.claims(START, 0, 0, Some(START));
@@ -89,7 +89,7 @@
                     ..Write::default()
                 };
                 assert_eq!(handover.admit(START, &write), Admit::Hold);
-                held.insert(id, Held { command, dispatches: Vec::new() });
+                held.insert(id, PendingCommand { command, dispatches: Vec::new() });
             }
             handover.claims(START, 0, 1, Some(START));
             Gateway { router, handover, held, asked: BTreeMap::new(), out: BTreeMap::new() }
@@ -104,17 +104,17 @@
             {
                 gateway.out.remove(&(at, id));
                 let held = gateway.held.get_mut(&id).expect("it is in hand");
-                held.dispatches[0].ended = Some(Ending::Answered);
+                held.dispatches[0].ended = Some(DispatchEnd::Answered);
                 let stated = Report { primary: Some(true), position: Some(now), ..Report::default() };
                 let outcome = Outcome {
                     dispatch: 0,
-                    ending: Ending::Answered,
+                    ending: DispatchEnd::Answered,
                     took: WORK,
-                    over: true,
-                    stated,
-                    report: None,
+                    finished: true,
+                    answer_report: stated,
+                    load_report: None,
                 };
-                gateway.router.after(now, held, &outcome);
+                gateway.router.on_outcome(now, held, &outcome);
                 gateway.handover.answered(now, 0, 1, id, Some(now));
                 answered += 1;
             }
@@ -130,19 +130,19 @@
             for id in ready {
                 let held = gateway.held.get_mut(&id).expect("it is in hand");
                 match gateway.router.place(now, held) {
-                    Place::Dispatch { server, .. } => {
+                    Placement::Dispatch { server, .. } => {
                         assert_eq!(server, 1);
                         gateway.handover.allows(0, server, id);
-                        held.dispatches.push(Dispatch::at_once(server, now));
+                        held.dispatches.push(Dispatch::written_immediately(server, now));
                         gateway.asked.remove(&id);
                         gateway.out.insert((now + WORK, id), ());
                         sent.push(now);
                     }
-                    Place::NotYet => {
-                        let wait = gateway.router.wait(now, Some(held)).micros.max(MS);
+                    Placement::Hold => {
+                        let wait = gateway.router.next_check(now, Some(held)).after.max(MS);
                         gateway.asked.insert(id, now + wait);
                     }
-                    Place::Never(_) => {
+                    Placement::Abandon(_) => {
                         gateway.asked.remove(&id);
                         gateway.handover.ended(now, id);
                         throttled += 1;
--- a/crates/hosting/src/commands.rs
+++ b/crates/hosting/src/commands.rs
@@ -9,7 +9,7 @@
 
 #[derive(Default)]
 struct Entry {
-    held: Held,
+    held: PendingCommand,
     over: bool,
     /// A dispatch that is called off before it is written whole.
     unsent: Option<usize>,
@@ -33,7 +33,7 @@
     }
 
     pub fn take(&mut self, id: u64, command: Command) {
-        let held = Held { command, dispatches: Vec::new() };
+        let held = PendingCommand { command, dispatches: Vec::new() };
         self.entries.insert(id, Entry { held, ..Entry::default() });
     }
 
@@ -43,7 +43,7 @@
     }
 
     /// A command with its history.
-    pub fn held(&self, id: u64) -> Option<&Held> {
+    pub fn held(&self, id: u64) -> Option<&PendingCommand> {
         self.entries.get(&id).map(|entry| &entry.held)
     }
 
@@ -74,35 +74,35 @@
 
     /// Asks the router where to send a command now, with the dispatches to call off after that. A dispatch is
     /// noted as sent. None: the command is over.
-    pub fn ask(&mut self, router: &mut Router, now: Micros, id: u64) -> Option<(Place, Vec<usize>)> {
+    pub fn ask(&mut self, router: &mut Router, now: Micros, id: u64) -> Option<(Placement, Vec<usize>)> {
         let entry = self.entries.get_mut(&id).filter(|entry| !entry.over)?;
         let place = router.place(now, &entry.held);
         match place {
-            Place::Dispatch { server, .. } => {
+            Placement::Dispatch { server, .. } => {
                 let written = Some(now).filter(|_| !self.written_later);
                 entry.held.dispatches.push(Dispatch { server, sent: now, written, ended: None });
             }
-            Place::NotYet => {}
-            Place::Never(_) => {
+            Placement::Hold => {}
+            Placement::Abandon(_) => {
                 self.over(id);
                 self.forget_ended(id);
                 return Some((place, Vec::new()));
             }
         }
-        let wait = router.wait(now, Some(&entry.held));
-        let due = now + wait.micros.max(1);
+        let wait = router.next_check(now, Some(&entry.held));
+        let due = now + wait.after.max(1);
         if entry.due != due {
             entry.due = due;
             self.due.add(due, id);
         }
-        Some((place, wait.recall))
+        Some((place, wait.cancel))
     }
 
     /// Whether a dispatch's next bytes may be written: the router is asked again. One that may not go out any
     /// more is called off, and since it reached nobody it is no dispatch of its command once its end is told.
     pub fn may_write(&mut self, router: &mut Router, now: Micros, id: u64, dispatch: usize) -> bool {
         let Some(entry) = self.entries.get_mut(&id) else { return false };
-        let may = !entry.over && !router.wait(now, Some(&entry.held)).recall.contains(&dispatch);
+        let may = !entry.over && !router.next_check(now, Some(&entry.held)).cancel.contains(&dispatch);
         entry.unsent = if may { None } else { Some(dispatch) };
         may
     }
@@ -129,12 +129,12 @@
         now: Micros,
         id: u64,
         mut outcome: Outcome,
-    ) -> Option<After> {
+    ) -> Option<NextStep> {
         let entry = self.entries.get_mut(&id)?;
         entry.held.dispatches.get_mut(outcome.dispatch)?.ended = Some(outcome.ending);
-        entry.over |= outcome.over;
-        outcome.over = entry.over;
-        let after = router.after(now, &entry.held, &outcome);
+        entry.over |= outcome.finished;
+        outcome.finished = entry.over;
+        let after = router.on_outcome(now, &entry.held, &outcome);
         // Guards against tries used up by what never left. One with others behind it stays, as their numbers do.
         if entry.unsent.take_if(|unsent| *unsent == outcome.dispatch).is_some()
             && entry.held.dispatches.len() == outcome.dispatch + 1
@@ -149,7 +149,7 @@
     pub fn client_gone(&mut self, router: &mut Router, now: Micros, id: u64) {
         if let Some(entry) = self.entries.get_mut(&id) {
             entry.over = true;
-            router.client_gone(now, &entry.held);
+            router.on_client_gone(now, &entry.held);
             self.forget_ended(id);
         }
     }
--- a/crates/hosting/src/list.rs
+++ b/crates/hosting/src/list.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use serde_json::Value as Json;
-use tansyjunction::interface::{Micros, Standing};
+use tansyjunction::interface::{Micros, ServerState};
 
 /// More servers than any deployment has. Guards against a list that keeps the traffic waiting while it is taken in.
 const HOSTS_MOST: usize = 5_000;
@@ -28,7 +28,7 @@
     pub zone: String,
     pub group: String,
     pub size: f64,
-    pub standing: Standing,
+    pub standing: ServerState,
     pub primary: bool,
     pub started: Option<Micros>,
 }
@@ -74,14 +74,14 @@
 impl Host {
     fn read(name: &str, json: &Json) -> Result<Self, String> {
         let standing = match json["health"].as_str() {
-            Some("up") => Standing::Serving,
-            Some("draining") => Standing::Draining,
-            Some("removed") => Standing::Gone,
+            Some("up") => ServerState::Serving,
+            Some("draining") => ServerState::Draining,
+            Some("removed") => ServerState::Gone,
             _ => return Err(format!("'health' of {name} is {}", json["health"])),
         };
         let dial = json["dial"].as_str().map(|dial| dial.parse());
         let dial = dial.transpose().map_err(|_| format!("'dial' of {name} is {}", json["dial"]))?;
-        if dial.is_none() && standing != Standing::Gone {
+        if dial.is_none() && standing != ServerState::Gone {
             return Err(format!("'dial' of {name} is missing"));
         }
         let size = json["share"].as_f64().unwrap_or(1.0);
--- a/crates/hosting/src/named.rs
+++ b/crates/hosting/src/named.rs
@@ -1,7 +1,7 @@
 //! The users' settings under the project's names and in microseconds.
 
 use serde_json::Value as Json;
-use tansyjunction::interface::{Named, Value};
+use tansyjunction::interface::{SettingsByName, Value};
 
 /// Settings that are taken over: where they stand on the wire, their name here, what a number is divided by.
 const TAKEN: [(&str, &str, f64); 22] = [
@@ -59,8 +59,8 @@
     ("kept", "remembered"),
 ];
 
-pub fn named(conf: &Json) -> Named {
-    let mut named = Named::new();
+pub fn named(conf: &Json) -> SettingsByName {
+    let mut named = SettingsByName::new();
     for (path, name, unit) in TAKEN {
         let found = path.split('/').try_fold(conf, |at, part| at.get(part));
         put(&mut named, name.into(), found, unit);
@@ -87,7 +87,7 @@
     named
 }
 
-fn put(named: &mut Named, name: String, found: Option<&Json>, unit: f64) {
+fn put(named: &mut SettingsByName, name: String, found: Option<&Json>, unit: f64) {
     let value = match found {
         Some(Json::Number(number)) => Value::Number(number.as_f64().unwrap_or(0.0) / unit),
         Some(Json::Bool(flag)) => Value::Flag(*flag),
--- a/crates/wirehost/src/instance.rs
+++ b/crates/wirehost/src/instance.rs
@@ -58,7 +58,7 @@
             session: event["client_key"].as_str().map(|key| self.sessions.of(key)),
             arrived: now,
             client_timeout: time(event, "not_after")?,
-            written_ago: event["wrote_ms_ago"].as_f64().map(|ms| (ms * 1_000.0) as Micros),
+            last_write_age: event["wrote_ms_ago"].as_f64().map(|ms| (ms * 1_000.0) as Micros),
             customer: self.customers.iter().position(|known| *known == event["tenant"]),
         };
         self.commands.take(corr, command);
@@ -78,10 +78,17 @@
             Some(sent) if dispatch < sent => {}
             Some(_) => return Err(format!("'go' {dispatch} was never sent for command {corr}")),
         }
-        let outcome = Outcome { dispatch, ending, took, over: flag(event, "complete"), stated, report };
+        let outcome = Outcome {
+            dispatch,
+            ending,
+            took,
+            finished: flag(event, "complete"),
+            answer_report: stated,
+            load_report: report,
+        };
         match self.commands.ended(&mut self.router, now, corr, outcome) {
-            Some(After::Ask) => self.ask(now, corr, orders),
-            Some(After::Over { recall }) => call_off(self.number, corr, &recall, orders),
+            Some(NextStep::PlaceAgain) => self.ask(now, corr, orders),
+            Some(NextStep::Finished { recall }) => call_off(self.number, corr, &recall, orders),
             None => {}
         }
         Ok(())
@@ -96,32 +103,32 @@
     pub fn pong(&mut self, now: Micros, event: &Json) -> Result<(), String> {
         let server = self.servers.of(text(event, "server")?);
         let report = self.report(&event["health_info"]);
-        self.router.probed(now, server, time(event, "duration")?, ending(event)?, report);
+        self.router.on_probe_result(now, server, time(event, "duration")?, ending(event)?, report);
         Ok(())
     }
 
     pub fn members(&mut self, now: Micros, event: &Json, page: Option<&Vec<Json>>) -> Result<(), String> {
         let how = text(event, "how")?;
         if how == "refused" {
-            self.router.listed(now, None, false);
+            self.router.update_server_list(now, None, false);
             return Ok(());
         }
         let page = page.ok_or("'page' names a list that was never given")?;
         let entries = page.iter().map(|entry| self.listed(entry)).collect::<Result<Vec<_>, _>>()?;
-        self.router.listed(now, Some(&entries), how != "changes");
+        self.router.update_server_list(now, Some(&entries), how != "changes");
         Ok(())
     }
 
-    fn listed(&mut self, entry: &Json) -> Result<Listed, String> {
-        Ok(Listed {
+    fn listed(&mut self, entry: &Json) -> Result<ServerListEntry, String> {
+        Ok(ServerListEntry {
             server: self.servers.of(text(entry, "server")?),
             group: self.groups.of(&number(entry, "set")?.to_string()),
             zone: self.zones.iter().position(|zone| *zone == entry["site"]).unwrap_or(self.zones.len()),
             size: entry["units"].as_f64().unwrap_or(1.0),
-            standing: match text(entry, "state")? {
-                "SERVING" => Standing::Serving,
-                "DRAINING" => Standing::Draining,
-                _ => Standing::Gone,
+            state: match text(entry, "state")? {
+                "SERVING" => ServerState::Serving,
+                "DRAINING" => ServerState::Draining,
+                _ => ServerState::Gone,
             },
             primary: entry["leads"].as_f64() == Some(1.0),
             started: entry["since"].as_u64().filter(|ns| *ns > 0).map(|ns| ns / NANOS),
@@ -157,16 +164,16 @@
         let i = self.number;
         let Some((place, recall)) = self.commands.ask(&mut self.router, now, corr) else { return };
         match place {
-            Place::Dispatch { server, timeout } => {
+            Placement::Dispatch { server, timeout } => {
                 let name = self.servers.name(server);
                 let timeout = timeout * NANOS;
                 orders.push(json!({"forward": {"i": i, "corr": corr, "timeout": timeout, "server": name}}));
             }
-            Place::NotYet => {}
-            Place::Never(Final::Throttled { come_back }) => {
+            Placement::Hold => {}
+            Placement::Abandon(FinalAnswer::Throttled { come_back }) => {
                 orders.push(json!({"shed": {"i": i, "corr": corr, "backoff": come_back * NANOS}}));
             }
-            Place::Never(Final::Failed) => orders.push(json!({"lose": {"i": i, "corr": corr}})),
+            Placement::Abandon(FinalAnswer::Failed) => orders.push(json!({"lose": {"i": i, "corr": corr}})),
         }
         call_off(i, corr, &recall, orders);
     }
@@ -177,14 +184,14 @@
             self.ask(now, corr, orders);
         }
         let i = self.number;
-        let wait = self.router.wait(now, None);
+        let wait = self.router.next_check(now, None);
         for server in wait.probes {
             orders.push(json!({"ask_load": {"i": i, "server": self.servers.name(server)}}));
         }
-        if wait.watch {
+        if wait.request_list {
             orders.push(json!({"subscribe": {"i": i, "enable": true}}));
         }
-        let own = now + wait.micros.max(1);
+        let own = now + wait.after.max(1);
         let next = self.commands.next_due().map_or(own, |due| own.min(due));
         // A timer can't be taken back; one that comes sooner serves as well.
         if self.reminded.is_none_or(|at| at <= now || next < at) {
@@ -202,17 +209,17 @@
 }
 
 /// How a dispatch or a probe ended.
-fn ending(event: &Json) -> Result<Ending, String> {
+fn ending(event: &Json) -> Result<DispatchEnd, String> {
     Ok(match text(event, "reason")? {
-        "ok" => Ending::Answered,
-        "error" => Ending::Errored,
-        "full" => Ending::SentBack,
-        "timeout" => Ending::TimedOut,
-        "connect_failed" => Ending::Unconnected,
-        "reset" => Ending::Reset,
-        "cancelled" => Ending::Recalled,
-        "moot" => Ending::Unsent,
-        "miss" => Ending::Missed,
+        "ok" => DispatchEnd::Answered,
+        "error" => DispatchEnd::Errored,
+        "full" => DispatchEnd::SentBack,
+        "timeout" => DispatchEnd::TimedOut,
+        "connect_failed" => DispatchEnd::Unconnected,
+        "reset" => DispatchEnd::Reset,
+        "cancelled" => DispatchEnd::Recalled,
+        "moot" => DispatchEnd::Unsent,
+        "miss" => DispatchEnd::Missed,
         other => return Err(format!("'reason' {other} is not known")),
     })
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,13 +1,14 @@
-//! The plain values that a [`Router`](crate::Router) is asked with and answers with.
+//! Input and output types of a [`Router`](crate::Router).
 //!
-//! Times are whole microseconds on one clock that only goes forward. Servers, groups and sessions are small
-//! indices that the caller hands out; zones and command groups are their places in the settings.
+//! Times are whole microseconds of one monotonic clock. Servers, groups and sessions are small numbers assigned by
+//! the host; zones and command groups are indices into the settings.
 
 use std::collections::BTreeMap;
 
+/// A time or duration in microseconds.
 pub type Micros = u64;
 
-/// One value of the settings.
+/// Value of a setting.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     Number(f64),
@@ -15,98 +16,111 @@
     Flag(bool),
 }
 
-/// Settings as dotted names, such as `command_group.0.response_target`; absent names take their defaults.
-pub type Named = BTreeMap<String, Value>;
+/// Settings by dotted name, such as `command_group.0.response_target`. Absent names take their defaults.
+pub type SettingsByName = BTreeMap<String, Value>;
 
-/// A command in hand.
+/// A command that has no final answer yet.
 #[derive(Clone, Debug, Default)]
 pub struct Command {
     pub command_group: usize,
     pub group: usize,
     pub session: Option<usize>,
     pub arrived: Micros,
-    /// When the client stops waiting for this try.
+    /// When the client gives up on this attempt.
     pub client_timeout: Micros,
-    /// How long before arrival the session's last write was committed, where clients bring that along.
-    pub written_ago: Option<Micros>,
-    /// Whose it is: a customer's place in the settings; None where it is nobody's that they name.
+    /// Age of the session's last write at arrival, where clients send it along.
+    pub last_write_age: Option<Micros>,
+    /// Index of the customer in the settings; `None` where it belongs to none of them.
     pub customer: Option<usize>,
 }
 
-/// How a dispatch ended.
+/// How a dispatch ended. The names appear in logs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum DispatchEnd {
+    /// The server answered.
     Answered,
+    /// The server answered with an error.
     Errored,
+    /// The server rejected the command without running it, for example because it was overloaded.
     SentBack,
+    /// No answer within the timeout.
     TimedOut,
+    /// No connection came up.
     Unconnected,
+    /// The connection broke after the command was sent.
     Reset,
+    /// The router had it cancelled.
     Recalled,
+    /// It was cancelled before it was written completely.
     Unsent,
+    /// The member did not qualify: not the primary, or not fresh enough.
     Missed,
 }
 
-impl Ending {
-    /// True where the ending proves that the command did not run.
+impl DispatchEnd {
+    /// Whether this proves that the command did not execute.
     pub fn never_ran(self) -> bool {
-        matches!(self, Ending::SentBack | Ending::Unconnected | Ending::Unsent | Ending::Missed)
+        matches!(
+            self,
+            DispatchEnd::SentBack | DispatchEnd::Unconnected | DispatchEnd::Unsent | DispatchEnd::Missed
+        )
     }
 }
 
+/// One attempt to run a command on a server.
 #[derive(Clone, Debug)]
 pub struct Dispatch {
     pub server: usize,
-    /// When it was placed there.
+    /// When the router chose the server.
     pub sent: Micros,
-    /// When its last byte was written; None: not yet, so that it can't have run and may be called off unsent.
+    /// When its last byte was written. `None`: not yet, so it cannot have executed and may be cancelled.
     pub written: Option<Micros>,
-    /// None while it is out.
-    pub ended: Option<Ending>,
+    /// `None` while it is in flight.
+    pub ended: Option<DispatchEnd>,
 }
 
 impl Dispatch {
-    /// One that is written whole as it is placed.
-    pub fn at_once(server: usize, now: Micros) -> Self {
+    /// A dispatch that was written completely when it was placed.
+    pub fn written_immediately(server: usize, now: Micros) -> Self {
         Dispatch { server, sent: now, written: Some(now), ended: None }
     }
 }
 
-/// A command with its dispatches so far, as the caller keeps it.
+/// A command with its dispatches so far, as kept by the host.
 #[derive(Clone, Debug, Default)]
-pub struct Held {
+pub struct PendingCommand {
     pub command: Command,
     pub dispatches: Vec<Dispatch>,
 }
 
-/// What a server says of itself, in an answer or a probe; what it leaves out is None.
+/// What a server reports about itself in an answer or a probe; `None` where it says nothing.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Up to when the server has applied all commits.
+    /// Commit time up to which the server has applied the log.
     pub position: Option<Micros>,
     pub primary: Option<bool>,
     pub queue: Option<f64>,
     pub busy: Option<f64>,
 }
 
-/// How a dispatch ended, with what came along.
+/// The end of a dispatch, with the reports that came along.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// Which dispatch of the command.
+    /// Index among the command's dispatches.
     pub dispatch: usize,
-    pub ending: Ending,
+    pub ending: DispatchEnd,
     pub took: Micros,
-    /// True once the command has its final answer.
-    pub over: bool,
-    /// What the answer itself states, exact as of now. For a write that went through, `position` is its
-    /// commit.
-    pub stated: Report,
-    /// A load report that came along, some time old.
-    pub report: Option<Report>,
+    /// Whether the command has its final answer.
+    pub finished: bool,
+    /// What the answer itself states, true at this moment. For a successful write, `position` is its commit.
+    pub answer_report: Report,
+    /// A load report sent with the answer, some time old.
+    pub load_report: Option<Report>,
 }
 
+/// Lifecycle state of a server in the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ServerState {
     Serving,
     Draining,
     Gone,
@@ -114,121 +128,121 @@
 
 /// An entry of the server list.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ServerListEntry {
     pub server: usize,
     pub group: usize,
     pub zone: usize,
     pub size: f64,
-    pub standing: Standing,
+    pub state: ServerState,
     pub primary: bool,
-    /// When its process last started; None: long ago.
+    /// When its process started; `None` if long ago.
     pub started: Option<Micros>,
 }
 
-/// What other routers say of a server, for [`Router::told`](crate::Router::told).
+/// What other routers observed of a server, for [`Router::on_peer_observation`](crate::Router::on_peer_observation).
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Hearsay {
+pub struct PeerObservation {
     pub server: usize,
-    /// When it was last heard to lead, where others agree that it does.
-    pub leads: Option<Micros>,
-    /// When others last found it to be of no use, where they agree that it is.
-    pub bad: Option<Micros>,
-    /// How long commands waited there of late, where it has just started: the mean of what others met, in microseconds.
-    pub waiting: f64,
+    /// When it was last seen as primary, where other routers agree on it.
+    pub leading_at: Option<Micros>,
+    /// When it was last found unusable, where other routers agree on it.
+    pub unusable_at: Option<Micros>,
+    /// Mean recent wait in µs that others saw at a server that has just started.
+    pub mean_wait: f64,
 }
 
-/// Where to send a command.
+/// Answer of [`Router::place`](crate::Router::place).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
-    /// Send it there; the dispatch times out after so long.
-    Dispatch {
-        server: usize,
-        timeout: Micros,
-    },
-    /// Keep it and ask again after the wait.
-    NotYet,
-    Never(Final),
-}
-
-/// A final answer other than the server's own.
+pub enum Placement {
+    /// Send it to this server with this timeout in µs.
+    Dispatch { server: usize, timeout: Micros },
+    /// Hold it and ask again at the next check.
+    Hold,
+    /// Abandon it with this final answer.
+    Abandon(FinalAnswer),
+}
+
+/// A final answer that does not come from a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Final {
-    /// A new try does no harm, best after so long (0: no advice).
+pub enum FinalAnswer {
+    /// A retry is harmless, at best after this many µs (0: no advice).
     Throttled { come_back: Micros },
-    /// Promises nothing about the effect.
+    /// The command may or may not have taken effect.
     Failed,
 }
 
-/// What to do after an outcome.
+/// What to do after a dispatch has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum After {
-    /// Ask where to send the command now.
-    Ask,
-    /// The command is over: call off these dispatches of it.
-    Over { recall: Vec<usize> },
+pub enum NextStep {
+    /// Ask for another placement of the command.
+    PlaceAgain,
+    /// The command is finished: cancel these dispatches of it.
+    Finished { recall: Vec<usize> },
 }
 
-/// Draws that a caller prescribes to a [`Router`](crate::Router) in place of chance, and those that were made. It
-/// serves checkers that try every pick in turn; a gateway has none.
+/// Replaces a [`Router`](crate::Router)'s random draws with prescribed values and records the draws made. Used by
+/// model checkers that try every value; gateways do not use it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Picks {
-    /// Only draws below a bound of 2 to this many are prescribed; wider ones stay with the seed.
-    pub most: usize,
-    /// What the draws give, in turn; those beyond give 0.
-    pub told: Vec<usize>,
-    /// The draws made: below what, and what they gave.
+pub struct PrescribedDraws {
+    /// Only draws with a bound from 2 to this are prescribed; others come from the seeded generator.
+    pub max_bound: usize,
+    /// Values of the draws in turn; further draws give 0.
+    pub values: Vec<usize>,
+    /// The draws made: bound and value.
     pub drawn: Vec<(usize, usize)>,
 }
 
-impl Picks {
+impl PrescribedDraws {
     pub(crate) fn next(&mut self, bound: usize) -> usize {
-        let drawn = self.told.get(self.drawn.len()).map_or(0, |told| (*told).min(bound - 1));
+        let drawn = self.values.get(self.drawn.len()).map_or(0, |told| (*told).min(bound - 1));
         self.drawn.push((bound, drawn));
         drawn
     }
 }
 
-/// How long to wait, and what is due before that.
+/// When to ask the router again, and what to do before that.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Wait {
-    pub micros: Micros,
-    /// Dispatches of the command to call off now: of those that are not written whole, each that may not be any
-    /// more. A host asks about it again before it writes.
-    pub recall: Vec<usize>,
+pub struct NextCheck {
+    /// Time until the next check.
+    pub after: Micros,
+    /// Dispatches of the command to cancel now, among them those not yet completely written that may no longer be
+    /// sent. The host asks again before it writes.
+    pub cancel: Vec<usize>,
     /// Servers to probe now.
     pub probes: Vec<usize>,
-    /// Ask for the server list, and for its changes from now on.
-    pub watch: bool,
+    /// Whether to request the server list and subscribe to its changes.
+    pub request_list: bool,
 }
 
-/// What a member lacks for a command; the first of these that holds, in this order.
+/// The first condition in this order that a member fails for a command. The names appear in logs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Lack {
-    /// By the list it drains or is gone.
+pub enum MissingRequirement {
+    /// The server list says that it drains or is gone.
     Serving,
-    /// It is down, or refused connections of late.
+    /// It is down or recently refused connections.
     Reach,
-    /// It is silent or fails much.
+    /// It is silent or fails too many commands.
     Wellness,
-    /// The command needs the primary, and it is not known as that.
+    /// The command needs the primary, and this member is not known to be it.
     Role,
-    /// This command has been there.
+    /// It was already tried for this command.
     AnotherTry,
-    /// Its data is too old.
+    /// Its data is too old for the read.
     Freshness,
-    /// It is cold and gets no more.
+    /// It is warming up and gets no more commands now.
     Warmth,
-    /// It has as many commands as it answers in time, or told of a queue.
+    /// Its concurrency limit is reached, or it reported a queue.
     Room,
+    /// It qualifies.
     Nothing,
 }
 
-/// What a member lacks, from [`Router::lacks`](crate::Router::lacks).
+/// A member's diagnosis, from [`Router::diagnose`](crate::Router::diagnose).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Lacking {
+pub struct MemberDiagnosis {
     pub server: usize,
     pub primary: bool,
-    /// It has started of late.
+    /// It has started recently and is warming up.
     pub cold: bool,
-    pub lack: Lack,
+    pub missing: MissingRequirement,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,12 @@
-//! Steers reads and writes in replicated stores.
+//! Routes reads and writes in replicated stores.
 //!
-//! [`Router`] makes every decision; [`interface`] holds the plain values that go in and come out.
+//! [`Router`] makes every decision; [`interface`] has its input and output types.
 
 mod balance;
-mod chance;
-mod decaying;
+mod decaying_sum;
 pub mod interface;
-mod marks;
+mod rng;
 mod state;
+mod state_hash;
 
 pub use balance::Router;
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,9 +1,9 @@
-//! What a router keeps of members, groups and command groups: plain values, filled and read by `balance.rs`.
+//! State that a router keeps of members, groups and command groups: plain values used by `balance.rs`.
 
-use crate::decaying::Decaying;
+use crate::decaying_sum::DecayingSum;
 use crate::interface::Micros;
 
-/// One member of a group, as this router sees it.
+/// A member of a group, as seen by this router.
 #[derive(Clone, Default)]
 pub(crate) struct Member {
     pub group: usize,
@@ -12,38 +12,40 @@
     pub serving: bool,
     pub started: Option<Micros>,
     pub listed_primary: bool,
-    /// Latest evidence for and against its being the primary.
-    pub claimed: Option<Micros>,
-    pub denied: Option<Micros>,
-    /// Known position, and when it was last told.
+    /// Time of the latest evidence that it is, or is not, the primary.
+    pub primary_claimed_at: Option<Micros>,
+    pub primary_denied_at: Option<Micros>,
+    /// Last known position, and when it was reported.
     pub position: Micros,
-    pub placed: Micros,
-    /// Where and when a read was missed: it stood short of this then.
-    pub short_of: Option<(Micros, Micros)>,
-    pub ping: Option<f64>,
-    pub probed: Option<Micros>,
-    pub probe_out: bool,
+    pub position_reported_at: Micros,
+    /// Position required by the last read that it could not serve, and when that was.
+    pub missed_position: Option<(Micros, Micros)>,
+    pub average_ping: Option<f64>,
+    pub last_probe_at: Option<Micros>,
+    pub probe_in_flight: bool,
     pub down: bool,
-    /// When a connection to it last failed.
-    pub shut: Option<Micros>,
+    /// When a connection to it was last refused.
+    pub refused_at: Option<Micros>,
     pub answered_at: Micros,
-    /// When the latest of the answered dispatches was sent.
-    pub proved: Micros,
-    pub failures: Decaying,
-    pub answers: Decaying,
-    pub waiting: f64,
-    pub waiting_at: Micros,
-    /// Commands waiting there, as last reported, and when.
-    pub queue: f64,
-    pub queue_told: Option<Micros>,
-    /// Sent time and command group of each dispatch that is out.
-    pub out: Vec<(Micros, usize)>,
-    pub room: f64,
-    /// When the last command was sent there, and the mean time of its kind.
-    pub sent: Micros,
-    pub usual: f64,
-    /// Work sent within the window of the cold rule.
-    pub sent_work: Decaying,
+    /// Send time of the latest dispatch that was answered.
+    pub latest_answered_sent_at: Micros,
+    pub failures: DecayingSum,
+    pub answers: DecayingSum,
+    /// Average wait of recent commands in µs, and when it was updated.
+    pub average_wait: f64,
+    pub average_wait_at: Micros,
+    /// Queue length as last reported, and when.
+    pub queue_length: f64,
+    pub queue_reported_at: Option<Micros>,
+    /// Send time and command group of each dispatch in flight.
+    pub in_flight: Vec<(Micros, usize)>,
+    /// Number of commands that may be in flight at once; below 1, commands are spaced out.
+    pub concurrency_limit: f64,
+    /// When the last command was sent there, and the mean time of its command group in µs.
+    pub last_sent_at: Micros,
+    pub last_sent_mean_time: f64,
+    /// Work sent within the overload window of the settings.
+    pub sent_work: DecayingSum,
 }
 
 /// A group of one primary and its replicas.
@@ -51,22 +53,23 @@
 pub(crate) struct Group {
     pub members: Vec<usize>,
     pub primary: Option<usize>,
-    /// Rises with each change of primary; ties of an older age are void.
-    pub age: u64,
-    /// When it last changed.
-    pub led: Micros,
-    /// Commands of late, for the probes' share of the work.
-    pub commands: Decaying,
-    pub last_command: Option<Micros>,
-    /// When a command last waited here for a primary.
-    pub sought: Option<Micros>,
-    /// Outcomes of late: late or lost ones, and all.
-    pub bad: Decaying,
-    pub outcomes: Decaying,
-    /// Part of its reads that is turned away, where the rooms of many routers cannot bind.
-    pub shed: f64,
+    /// Number of changes of primary so far; session affinities of an earlier epoch are void.
+    pub primary_epoch: u64,
+    /// When the primary last changed.
+    pub primary_changed_at: Micros,
+    /// Recent commands; probes are limited to a share of them.
+    pub recent_commands: DecayingSum,
+    pub last_command_at: Option<Micros>,
+    /// When a command last waited for a primary of this group.
+    pub primary_sought_at: Option<Micros>,
+    /// Recent outcomes: late or lost ones, and all.
+    pub recent_bad_outcomes: DecayingSum,
+    pub recent_outcomes: DecayingSum,
+    /// Share of its commands that is shed, where many routers' concurrency limits have no effect.
+    pub shed_share: f64,
 }
 
+/// Freshness that the commands of a group need.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Need {
     Write,
@@ -76,58 +79,64 @@
     Any,
 }
 
+/// Whether a command may run more than once.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Effect {
+    /// Any number of times.
     Replayable,
+    /// Repeats within a time window are dropped by their key.
     Keyed,
+    /// Once at most.
     Mutating,
 }
 
-/// What the settings and the answers so far tell of a command group.
+/// Settings and statistics of a command group.
 #[derive(Clone)]
-pub(crate) struct Kind {
+pub(crate) struct CommandGroup {
     pub need: Need,
     pub effect: Effect,
-    /// Keyed: repeats are dropped by any server, in its zone, or in its group; and for how long.
-    pub scope_all: bool,
-    pub scope_zone: bool,
+    /// For keyed commands, repeats are dropped by any server, by servers of the same zone, or else by servers of the
+    /// same group; and for how long.
+    pub deduplicated_anywhere: bool,
+    pub deduplicated_per_zone: bool,
     pub repeat_within: Micros,
     pub response_target: Micros,
     pub late_benefit: f64,
-    /// Usual time of a prompt answer, and of any answer.
-    pub prompt: f64,
-    pub mean: f64,
-    /// Answers that the mean rests on.
-    pub seen: f64,
-    /// First dispatches of late, and further ones beside or after them.
-    pub firsts: Decaying,
-    pub copies: Decaying,
+    /// Typical time in µs of an answer without waiting, and mean time of all answers.
+    pub prompt_time: f64,
+    pub mean_time: f64,
+    /// Number of answers in the mean.
+    pub answer_count: f64,
+    /// Recent first dispatches, and hedged dispatches.
+    pub first_dispatches: DecayingSum,
+    pub hedged_dispatches: DecayingSum,
 }
 
-/// What a router has seen of all servers together.
+/// Statistics over all servers.
 #[derive(Clone, Default)]
-pub(crate) struct Seen {
-    /// Some server told its queue; what a told queue means for the waiting, and what each command in it adds.
-    pub queues_told: bool,
-    pub queue_base: f64,
-    pub queue_step: f64,
-    /// Probes of late, those that timed out, and whether most do.
-    pub probes: Decaying,
-    pub probes_lost: Decaying,
-    pub probes_lost_most: bool,
-    /// A probe told a role.
-    pub probes_tell: bool,
-    /// Commands that came of late, and those that were answered.
-    pub asked: Decaying,
-    pub answered: Decaying,
-    /// Work answered, for its usual rate.
-    pub work: Decaying,
-    pub fleet: Fleet,
+pub(crate) struct RouterStats {
+    /// Whether any server reported a queue; the estimated wait in µs behind a queue, and the wait added by each
+    /// queued command.
+    pub queues_reported: bool,
+    pub queue_base_wait: f64,
+    pub queue_wait_per_command: f64,
+    /// Recent probes, those that timed out, and whether most did.
+    pub recent_probes: DecayingSum,
+    pub recent_lost_probes: DecayingSum,
+    pub most_probes_lost: bool,
+    /// Whether any probe reported a role.
+    pub probes_report_role: bool,
+    /// Recent arrivals, and recent answers.
+    pub recent_arrivals: DecayingSum,
+    pub recent_answers: DecayingSum,
+    /// Work answered, as a recent rate.
+    pub answered_work: DecayingSum,
+    pub serving: ServingMembers,
 }
 
-/// The members that serve, by the list: their sizes together, their groups and zones.
+/// The serving members of the server list: sum of their sizes, number of groups and of zones.
 #[derive(Clone, Default)]
-pub(crate) struct Fleet {
+pub(crate) struct ServingMembers {
     pub size: f64,
     pub groups: f64,
     pub zones: f64,
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,6 +1,6 @@
-//! Cold servers, by the sum of the fleet: many routers of the real module in virtual time against servers
-//! that have just started, and every window of the rule on cold servers counted. The server here never
-//! falls: it queues what it can't serve.
+//! Slow start over the whole fleet: many routers in virtual time against servers that have just started. Every window
+//! of the overload rule for cold servers is counted over all routers. The simulated server never crashes: it queues
+//! what it cannot serve.
 
 mod common;
 
@@ -15,31 +15,31 @@
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000 * MS;
 
-/// The server starts then; what comes before gives routers their history.
+/// Start time of the cold server; earlier commands give routers their history.
 const START: Micros = 1_000 * SECOND;
 const BEFORE: Micros = 6 * SECOND;
-/// So long there was no primary before the new one started.
+/// How long there was no primary before the new one started.
 const HEADLESS: Micros = 4 * SECOND;
 const BURST_FOR: Micros = 3 * SECOND;
-/// So much is played from the start on, or until the server is warm.
+/// Simulated time after the start, or less if the server is warm before.
 const PLAYED: Micros = 10 * SECOND;
-/// What members bear of what they could, and how much more comes in a burst.
+/// Load as a share of capacity, and its increase in a burst.
 const LOAD: f64 = 0.7;
 const BURST: f64 = 1.5;
 const GROUPS: usize = 3;
-/// One group gets more than the others.
+/// Load of the first group relative to the others.
 const GROUP_PARTS: [f64; GROUPS] = [1.15, 1.0, 0.85];
-/// Sizes and zones of a group's members; the first leads.
+/// Sizes and zones of a group's members; the first one is the primary.
 const MEMBERS: [(usize, usize); 4] = [(2, 0), (1, 0), (2, 1), (1, 1)];
-/// The number of a server that joins.
+/// Number of a server that joins.
 const JOINED: usize = GROUPS * MEMBERS.len();
-/// How far replicas stand behind, and how long a message is on its way within a zone and between two.
+/// Replication lag, and message delay within a zone and between zones.
 const LAG: Micros = 100 * MS;
 const WAY: [Micros; 2] = [MS / 2, 2 * MS];
 const TRIES: usize = 4;
 
-/// Part of the commands, work of one on a core, response target and client timeout of each command group of
-/// `conf`: long reads of any data, two kinds of short ones, fresh reads, two kinds of writes.
+/// Share of the commands, work on one core, response target and client timeout of each command group of `conf`: long
+/// unbounded reads, two groups of short reads, fresh reads and two groups of writes.
 const KINDS: [(f64, Micros, Micros, Micros); 6] = [
     (0.04, 100 * MS, 3_000 * MS, 8_000 * MS),
     (0.50, 10 * MS, 400 * MS, 1_500 * MS),
@@ -53,12 +53,12 @@
     KINDS.iter().map(|(part, work, ..)| part * *work as f64).sum()
 }
 
-/// Cores of a group.
+/// Number of cores of a group.
 fn sizes() -> usize {
     MEMBERS.iter().map(|(size, _)| size).sum()
 }
 
-/// A deployment's settings on cold servers, and whether members check reads themselves and tell their queue.
+/// A deployment's settings for cold servers, and whether members check freshness and report their queue.
 #[derive(Clone, Copy, Debug)]
 struct Site {
     cold_from: f64,
@@ -66,7 +66,7 @@
     window: Micros,
     cold: Micros,
     guards: &'static str,
-    /// How capacity really grows there.
+    /// How the capacity of its servers actually grows.
     growth: Growth,
 }
 
@@ -97,19 +97,18 @@
     },
 ];
 
-/// How a server's capacity grows. The settings tell where it begins and when it is warm, and routers reckon
-/// evenly.
+/// How a server's capacity grows. The settings give its start and when it is warm; routers assume linear growth.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Growth {
     Even,
-    /// Not at all up to half the time, then evenly.
+    /// Constant for half of the time, then linear.
     Late,
-    /// All at the end.
+    /// One step at the end.
     Step,
 }
 
 impl Site {
-    /// The part of its capacity that a server has at this age.
+    /// Share of its capacity that a server has at this age.
     fn part(&self, age: Micros, growth: Growth) -> f64 {
         let age = (age as f64 / self.cold as f64).min(1.0);
         let grown = match growth {
@@ -120,7 +119,7 @@
         self.cold_from + (1.0 - self.cold_from) * grown
     }
 
-    /// The mean part over a window that begins at this age.
+    /// Mean share over a window that begins at this age.
     fn mean_part(&self, age: Micros, growth: Growth) -> f64 {
         const PIECES: u64 = 20;
         let at = |piece| age + self.window * (2 * piece + 1) / (2 * PIECES);
@@ -128,13 +127,13 @@
     }
 }
 
-/// What has just started.
+/// Which servers are cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Cold {
     Replica,
-    /// A new server leads; all hold writes for it.
+    /// A new server is primary, and all routers hold writes for it.
     Primary,
-    /// That, and a replica of its group starts too.
+    /// Also a replica of its group.
     Both,
 }
 
@@ -143,7 +142,7 @@
     site: Site,
     routers: usize,
     cold: Cold,
-    /// Nine in ten routers have just restarted.
+    /// Whether nine in ten routers have just restarted.
     restarted: bool,
     seed: u64,
 }
@@ -155,22 +154,22 @@
     leads: bool,
     gone: bool,
     started: Option<Micros>,
-    /// When each core is free, and when what waits begins.
+    /// When each core becomes free, and when queued commands begin.
     free: Vec<Micros>,
     begins: Vec<Micros>,
-    /// When commands came since the start, and their mean work.
+    /// Arrival times since the start, and their mean work.
     got: Vec<(Micros, f64)>,
 }
 
 struct Gateway {
     router: Router,
     zone: usize,
-    /// How many processes there were before this one.
+    /// Number of earlier processes of this server.
     boot: usize,
 }
 
 struct Entry {
-    held: Held,
+    held: PendingCommand,
     gateway: usize,
     over: bool,
     due: Micros,
@@ -182,7 +181,7 @@
     Arrive,
     Ask(u64),
     Reach { id: u64, dispatch: usize },
-    End { id: u64, dispatch: usize, ending: Ending },
+    End { id: u64, dispatch: usize, ending: DispatchEnd },
     Due(usize),
     Probed { gateway: usize, boot: usize, server: usize, sent: Micros },
     Again { gateway: usize, command: Command, tries: usize },
@@ -196,7 +195,7 @@
     rng: Rng,
     now: Micros,
     gateways: Vec<Gateway>,
-    /// What each router gets, as parts.
+    /// Each router's share of the traffic.
     shares: Vec<f64>,
     servers: Vec<Server>,
     entries: BTreeMap<u64, Entry>,
@@ -204,7 +203,7 @@
     events: BinaryHeap<Reverse<(Micros, u64)>>,
     what: BTreeMap<u64, Event>,
     next_event: u64,
-    /// Final answers, and commands that came.
+    /// Numbers of final answers and of arrived commands.
     answered: usize,
     asked: usize,
 }
@@ -213,7 +212,7 @@
     fn new(plan: Plan) -> Self {
         let mut rng = Rng::with_seed(plan.seed);
         let gateways: Vec<_> = (0..plan.routers).map(|number| gateway(&plan, number, 0)).collect();
-        // One in five carries several times the mean.
+        // One router in five has several times the mean traffic.
         let share = |number: usize| if number % 5 == 1 { 5.0 } else { 0.2 + rng.f64() };
         let shares = (0..plan.routers).map(share).collect();
         let all = (0..GROUPS).flat_map(|group| {
@@ -259,7 +258,7 @@
             fleet.at(START - HEADLESS, Event::Headless);
         }
         if plan.restarted {
-            // Those that hold writes for the new primary have no history either.
+            // Routers that hold writes for the new primary have no history either.
             fleet.at(START - if headless { HEADLESS - 1 } else { 1 }, Event::Restart);
         }
         fleet.at(START, Event::Start);
@@ -291,11 +290,14 @@
             Event::Probed { gateway, boot, server, sent } => {
                 let report = self.report(server);
                 let gone = self.servers[server].gone;
-                let (ending, report) =
-                    if gone { (Ending::Unconnected, None) } else { (Ending::Answered, Some(report)) };
+                let (ending, report) = if gone {
+                    (DispatchEnd::Unconnected, None)
+                } else {
+                    (DispatchEnd::Answered, Some(report))
+                };
                 let gateway = &mut self.gateways[gateway];
                 if gateway.boot == boot {
-                    gateway.router.probed(self.now, server, self.now - sent, ending, report);
+                    gateway.router.on_probe_result(self.now, server, self.now - sent, ending, report);
                 }
             }
             Event::Again { gateway, command, tries } => self.take(gateway, command, tries),
@@ -303,7 +305,7 @@
                 self.servers[0].gone = true;
                 let out: Vec<_> = self.out_at(0);
                 for (id, dispatch) in out {
-                    self.end(id, dispatch, Ending::Reset);
+                    self.end(id, dispatch, DispatchEnd::Reset);
                 }
                 (0..self.gateways.len()).for_each(|number| self.tell(number));
             }
@@ -312,7 +314,7 @@
         }
     }
 
-    /// Dispatches that are out at a server.
+    /// Dispatches in flight at a server.
     fn out_at(&self, server: usize) -> Vec<(u64, usize)> {
         let out = |(id, entry): (&u64, &Entry)| {
             let dispatches = entry.held.dispatches.iter().enumerate();
@@ -322,7 +324,7 @@
         self.entries.iter().flat_map(out).collect()
     }
 
-    /// Nine in ten routers begin anew; clients of what they held come again soon.
+    /// Restarts nine in ten routers; clients of their pending commands retry soon.
     fn restart(&mut self) {
         for number in (0..self.gateways.len()).filter(|number| number % 10 != 3) {
             self.gateways[number] = gateway(&self.plan, number, self.gateways[number].boot + 1);
@@ -346,7 +348,7 @@
             let replica = 1 + self.plan.seed as usize % 2;
             self.servers[replica].started = Some(START);
             for (id, dispatch) in self.out_at(replica) {
-                self.end(id, dispatch, Ending::Reset);
+                self.end(id, dispatch, DispatchEnd::Reset);
             }
             let cores = self.servers[replica].size;
             self.servers[replica].free = vec![START; cores];
@@ -354,19 +356,19 @@
         (0..self.gateways.len()).for_each(|number| self.tell(number));
     }
 
-    /// The whole list, as it is now.
+    /// Sends a router the current server list.
     fn tell(&mut self, number: usize) {
-        let entry = |(number, server): (usize, &Server)| Listed {
+        let entry = |(number, server): (usize, &Server)| ServerListEntry {
             server: number,
             group: server.group,
             zone: server.zone,
             size: server.size as f64,
-            standing: if server.gone { Standing::Gone } else { Standing::Serving },
+            state: if server.gone { ServerState::Gone } else { ServerState::Serving },
             primary: server.leads && !server.gone,
             started: server.started,
         };
         let entries: Vec<_> = self.servers.iter().enumerate().map(entry).collect();
-        self.gateways[number].router.listed(self.now, Some(&entries), true);
+        self.gateways[number].router.update_server_list(self.now, Some(&entries), true);
     }
 
     fn arrive(&mut self) {
@@ -382,7 +384,7 @@
             session: Some(self.rng.usize(0..100_000)),
             arrived: self.now,
             client_timeout: self.now + KINDS[command_group].3,
-            written_ago: (command_group == 2).then_some(SECOND),
+            last_write_age: (command_group == 2).then_some(SECOND),
             customer: None,
         };
         self.take(gateway, command, 1);
@@ -390,7 +392,7 @@
 
     fn take(&mut self, gateway: usize, mut command: Command, tries: usize) {
         command.arrived = self.now;
-        let held = Held { command, dispatches: Vec::new() };
+        let held = PendingCommand { command, dispatches: Vec::new() };
         let id = self.next_id;
         self.next_id += 1;
         self.asked += 1;
@@ -398,11 +400,11 @@
         self.ask(id);
     }
 
-    /// The client comes again after its answer, or at once where there was none, as long as its time lasts.
+    /// The client retries after its answer, or at once without one, until its time is over.
     fn again(&mut self, entry: &Entry, come_back: Micros) {
         let at = self.now + come_back.max(10 * MS) + self.rng.u64(0..100 * MS);
         if entry.tries < TRIES && at < entry.held.command.client_timeout && !entry.over {
-            // It may meet another gateway.
+            // The retry may reach another gateway.
             let gateway = drawn(&mut self.rng, self.shares.iter().copied());
             let command = entry.held.command.clone();
             self.at(at, Event::Again { gateway, command, tries: entry.tries + 1 });
@@ -415,57 +417,57 @@
         let gateway = &mut self.gateways[number];
         let place = gateway.router.place(self.now, &entry.held);
         match place {
-            Place::Dispatch { server, timeout } => {
+            Placement::Dispatch { server, timeout } => {
                 let dispatch = entry.held.dispatches.len();
-                entry.held.dispatches.push(Dispatch::at_once(server, self.now));
+                entry.held.dispatches.push(Dispatch::written_immediately(server, self.now));
                 let way = WAY[usize::from(gateway.zone != self.servers[server].zone)];
                 let (reach, late) = (self.now + way, self.now + timeout);
                 self.at(reach, Event::Reach { id, dispatch });
-                self.at(late, Event::End { id, dispatch, ending: Ending::TimedOut });
+                self.at(late, Event::End { id, dispatch, ending: DispatchEnd::TimedOut });
             }
-            Place::NotYet => {}
-            Place::Never(last) => {
+            Placement::Hold => {}
+            Placement::Abandon(last) => {
                 let entry = self.entries.remove(&id).expect("it is in hand");
                 let reads = !matches!(entry.held.command.command_group, 4 | 5);
                 match last {
-                    Final::Throttled { come_back } => self.again(&entry, come_back),
-                    Final::Failed if reads => self.again(&entry, 0),
-                    Final::Failed => {}
+                    FinalAnswer::Throttled { come_back } => self.again(&entry, come_back),
+                    FinalAnswer::Failed if reads => self.again(&entry, 0),
+                    FinalAnswer::Failed => {}
                 }
                 return;
             }
         }
         let (now, entry) = (self.now, self.entries.get_mut(&id).expect("it is in hand"));
-        let wait = self.gateways[number].router.wait(now, Some(&entry.held));
-        let due = now + wait.micros.max(1);
+        let wait = self.gateways[number].router.next_check(now, Some(&entry.held));
+        let due = now + wait.after.max(1);
         if entry.due != due {
             entry.due = due;
             self.at(due, Event::Ask(id));
         }
-        for dispatch in wait.recall {
-            self.end(id, dispatch, Ending::Recalled);
+        for dispatch in wait.cancel {
+            self.end(id, dispatch, DispatchEnd::Recalled);
         }
-        if place == Place::NotYet {
+        if place == Placement::Hold {
             self.due(number);
         }
     }
 
-    /// What the router wants done without a command; how long until the next question.
+    /// Runs the router's periodic check; returns the time until the next one.
     fn due(&mut self, number: usize) -> Micros {
         let gateway = &mut self.gateways[number];
         let (zone, boot) = (gateway.zone, gateway.boot);
-        let wait = gateway.router.wait(self.now, None);
+        let wait = gateway.router.next_check(self.now, None);
         for server in wait.probes {
             let trip = 2 * WAY[usize::from(zone != self.servers[server].zone)];
             let probed = Event::Probed { gateway: number, boot, server, sent: self.now };
             self.at(self.now + trip, probed);
         }
-        wait.micros
+        wait.after
     }
 
-    /// A dispatch comes to its server, whether or not anybody still waits for it.
+    /// A dispatch arrives at its server, whether or not its client still waits.
     fn reach(&mut self, id: u64, dispatch: usize) {
-        // What a router sent before it ended is lost with it.
+        // Dispatches of a router that ended are lost with it.
         let Some(entry) = self.entries.get(&id) else { return };
         let sent = &entry.held.dispatches[dispatch];
         let k = entry.held.command.command_group;
@@ -474,15 +476,15 @@
         let (place, plan) = (sent.server, self.plan);
         let at = &mut self.servers[place];
         if at.gone {
-            return self.end(id, dispatch, Ending::Unconnected);
+            return self.end(id, dispatch, DispatchEnd::Unconnected);
         }
         if at.started.is_some() {
             at.got.push((self.now, KINDS[k].1 as f64));
         }
         if !at.leads && k >= 3 {
-            return self.at(self.now + way, Event::End { id, dispatch, ending: Ending::Missed });
+            return self.at(self.now + way, Event::End { id, dispatch, ending: DispatchEnd::Missed });
         }
-        // Work differs by half to either side; cold cores take longer.
+        // Work varies by half in both directions; cold cores take longer.
         let part = at.started.map_or(1.0, |started| plan.site.part(self.now - started, plan.site.growth));
         let work = KINDS[k].1 as f64 * (0.5 + self.rng.f64()) / part;
         let core = (0..at.size).min_by_key(|core| at.free[*core]).expect("it has one");
@@ -490,48 +492,55 @@
         at.free[core] = begin + work as Micros;
         at.begins.push(begin);
         let end = at.free[core] + way;
-        self.at(end, Event::End { id, dispatch, ending: Ending::Answered });
+        self.at(end, Event::End { id, dispatch, ending: DispatchEnd::Answered });
     }
 
     fn report(&mut self, server: usize) -> Report {
         let (now, at) = (self.now, &mut self.servers[server]);
         at.begins.retain(|begin| *begin > now);
-        // Where members do not check, they tell no queue here.
+        // Members that do not check freshness report no queue here.
         let queue = (self.plan.site.guards != "none").then_some(at.begins.len() as f64);
         let position = Some(if at.leads { now } else { now - LAG });
         Report { position, primary: Some(at.leads), queue, ..Report::default() }
     }
 
-    fn end(&mut self, id: u64, dispatch: usize, ending: Ending) {
+    fn end(&mut self, id: u64, dispatch: usize, ending: DispatchEnd) {
         let Some(entry) = self.entries.get(&id) else { return };
         let sent = &entry.held.dispatches[dispatch];
         if sent.ended.is_some() {
             return;
         }
         let (place, took) = (sent.server, self.now - sent.sent);
-        let heard = matches!(ending, Ending::Answered | Ending::Missed);
+        let heard = matches!(ending, DispatchEnd::Answered | DispatchEnd::Missed);
         let report = if heard { Some(self.report(place)) } else { None };
         let stated = report.map_or(Report::default(), |report| Report { queue: None, ..report });
         let entry = self.entries.get_mut(&id).expect("it is in hand");
         entry.held.dispatches[dispatch].ended = Some(ending);
-        self.answered += usize::from(ending == Ending::Answered && !entry.over);
-        entry.over |= ending == Ending::Answered;
-        let outcome = Outcome { dispatch, ending, took, over: entry.over, stated, report };
-        let after = self.gateways[entry.gateway].router.after(self.now, &entry.held, &outcome);
+        self.answered += usize::from(ending == DispatchEnd::Answered && !entry.over);
+        entry.over |= ending == DispatchEnd::Answered;
+        let outcome = Outcome {
+            dispatch,
+            ending,
+            took,
+            finished: entry.over,
+            answer_report: stated,
+            load_report: report,
+        };
+        let after = self.gateways[entry.gateway].router.on_outcome(self.now, &entry.held, &outcome);
         if entry.over && entry.held.dispatches.iter().all(|d| d.ended.is_some()) {
             self.entries.remove(&id);
         }
         match after {
-            After::Ask => self.ask(id),
-            After::Over { recall } => {
+            NextStep::PlaceAgain => self.ask(id),
+            NextStep::Finished { recall } => {
                 for dispatch in recall {
-                    self.end(id, dispatch, Ending::Recalled);
+                    self.end(id, dispatch, DispatchEnd::Recalled);
                 }
             }
         }
     }
 
-    /// The greatest use of the budget by any window, for a growth of capacity.
+    /// The window with the greatest use of the budget, for a growth of capacity.
     fn worst(&self, growth: Growth) -> Use {
         let cold = self.servers.iter().filter(|server| server.started.is_some());
         cold.flat_map(|server| windows(&self.plan.site, server, growth))
@@ -539,8 +548,8 @@
             .unwrap_or_default()
     }
 
-    /// The least part of what the budget allows, or of what there is for an average member if that is less,
-    /// that a cold server got in the first half of its time.
+    /// The least share that a cold server got in the first half of its warm-up: of the budget, or of an average member's
+    /// commands if that is less.
     fn least(&self) -> f64 {
         let site = &self.plan.site;
         let half = site.cold / 2;
@@ -563,7 +572,7 @@
     }
 }
 
-/// What came in a window: commands of mean work, the budget N, and how much of N + 2 root N + 2 came.
+/// Arrivals in a window: commands of mean work, the budget N, and the share of N + 2 root N + 2 that arrived.
 #[derive(Clone, Copy, Debug, Default)]
 struct Use {
     came: f64,
@@ -572,7 +581,7 @@
     at: Micros,
 }
 
-/// Each window that begins as a command comes.
+/// All windows that begin with the arrival of a command.
 fn windows(site: &Site, server: &Server, growth: Growth) -> Vec<Use> {
     let (mut until, mut came) = (0, 0.0);
     let window = |from: usize| {
@@ -591,7 +600,7 @@
     (0..server.got.len()).map(window).collect()
 }
 
-/// A place drawn by these parts.
+/// Draws an index with these weights.
 fn drawn(rng: &mut Rng, parts: impl Iterator<Item = f64> + Clone) -> usize {
     let mut at = rng.f64() * parts.clone().sum::<f64>();
     let found = parts.clone().position(|part| {
@@ -643,14 +652,13 @@
     Gateway { router: Router::new(conf(&changed), seed).expect("settings make sense"), zone, boot }
 }
 
-/// Plays all sites and some seeds at each size; no window may be above N + 2 root N + 2, nor a cold server
-/// starve.
+/// Plays all sites and some seeds at each size; no window may exceed N + 2 root N + 2, and no cold server may starve.
 fn kept(cold: Cold, restarted: bool) {
     let mut broken = Vec::new();
     for routers in [1, 5, 20, 30, 300] {
-        // Where each router has enough commands to know the load, seeds differ little.
+        // Where routers have enough commands to know the load, seeds differ little.
         let seeds = if routers < 300 { 1 } else { 2 };
-        // The other growths are for information: routers are not told how capacity grows.
+        // Other growths are informative only: routers are not told how capacity grows.
         let mut worst = [Growth::Even, Growth::Late, Growth::Step].map(|_| Use::default());
         let mut most_of_n = 0.0f64;
         let (mut least, mut answered) = (f64::INFINITY, f64::INFINITY);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A store of one group, with the settings of six command groups, one for each need and effect. Each test program uses
-//! its part.
+//! A store with one group, and settings for six command groups, one for each need and effect. Each test program uses
+//! a part of it.
 #![allow(dead_code)]
 
 use tansyjunction::Router;
@@ -8,8 +8,8 @@
 pub const GROUP: usize = 7;
 const MS: Micros = 1_000;
 
-pub fn conf(changed: &[(&str, Value)]) -> Named {
-    let mut named = Named::new();
+pub fn conf(changed: &[(&str, Value)]) -> SettingsByName {
+    let mut named = SettingsByName::new();
     let mut put = |name: &str, value: Value| named.insert(name.into(), value);
     let number = |n: f64| Value::Number(n);
     for (name, n) in [
@@ -62,17 +62,17 @@
 pub struct Store {
     pub router: Router,
     pub now: Micros,
-    entries: Vec<Listed>,
+    entries: Vec<ServerListEntry>,
 }
 
 impl Store {
-    /// Primary 0 and replicas 1 and 2, all in the own zone, well and up to date.
+    /// Primary 0 and replicas 1 and 2, all in the own zone, healthy and up to date.
     pub fn calm(changed: &[(&str, Value)]) -> Self {
         Store::behind(changed, &[0, 0, 0], 0)
     }
 
-    /// The same with members that stand so far behind; replicas from `elsewhere` on and the primary, where there
-    /// are more than three, are in another zone.
+    /// Like `calm`, with the given lag of each member. Replicas from number `elsewhere` on are in another zone; with
+    /// more than three members, the primary is too.
     pub fn behind(changed: &[(&str, Value)], behind: &[Micros], elsewhere: usize) -> Self {
         let router = Router::new(conf(changed), 42).expect("settings make sense");
         let mut store = Store { router, now: 100_000_000, entries: Vec::new() };
@@ -86,36 +86,36 @@
     }
 
     pub fn list(&mut self, members: &[(usize, usize, bool)]) {
-        let entry = |&(server, zone, primary)| Listed {
+        let entry = |&(server, zone, primary)| ServerListEntry {
             server,
             group: GROUP,
             zone,
             size: 1.0,
-            standing: Standing::Serving,
+            state: ServerState::Serving,
             primary,
             started: None,
         };
         self.entries = members.iter().map(entry).collect();
-        self.router.listed(self.now, Some(&self.entries), true);
+        self.router.update_server_list(self.now, Some(&self.entries), true);
     }
 
-    pub fn standing(&mut self, server: usize, standing: Standing) {
-        self.entries[server].standing = standing;
-        self.router.listed(self.now, Some(&self.entries[server..=server]), false);
+    pub fn standing(&mut self, server: usize, standing: ServerState) {
+        self.entries[server].state = standing;
+        self.router.update_server_list(self.now, Some(&self.entries[server..=server]), false);
     }
 
     pub fn restart(&mut self, server: usize) {
         self.entries[server].started = Some(self.now);
-        self.router.listed(self.now, Some(&self.entries[server..=server]), false);
+        self.router.update_server_list(self.now, Some(&self.entries[server..=server]), false);
     }
 
     pub fn probe(&mut self, server: usize, ping: Micros, primary: bool, behind: Micros) {
         let report =
             Report { position: Some(self.now - behind), primary: Some(primary), ..Report::default() };
-        self.router.probed(self.now, server, ping, Ending::Answered, Some(report));
+        self.router.on_probe_result(self.now, server, ping, DispatchEnd::Answered, Some(report));
     }
 
-    /// For five seconds this replica applies nothing while the others go on.
+    /// This replica applies nothing for five seconds while the others go on.
     pub fn stands_still(&mut self, server: usize) {
         self.now += 5_000 * MS;
         for other in 0..self.entries.len() {
@@ -123,32 +123,32 @@
         }
     }
 
-    pub fn probe_fails(&mut self, server: usize, ending: Ending) {
-        self.router.probed(self.now, server, 250 * MS, ending, None);
+    pub fn probe_fails(&mut self, server: usize, ending: DispatchEnd) {
+        self.router.on_probe_result(self.now, server, 250 * MS, ending, None);
     }
 
-    /// A command of session 1 that has just arrived; the session wrote 900 ms ago.
-    pub fn command(&self, command_group: usize) -> Held {
+    /// A new command of session 1, whose last write was 900 ms ago.
+    pub fn command(&self, command_group: usize) -> PendingCommand {
         let command = Command {
             command_group,
             group: GROUP,
             session: Some(1),
             arrived: self.now,
             client_timeout: self.now + 2_000 * MS,
-            written_ago: Some(900 * MS),
+            last_write_age: Some(900 * MS),
             customer: None,
         };
-        Held { command, dispatches: Vec::new() }
+        PendingCommand { command, dispatches: Vec::new() }
     }
 
-    pub fn place(&mut self, held: &Held) -> Place {
+    pub fn place(&mut self, held: &PendingCommand) -> Placement {
         self.router.place(self.now, held)
     }
 
-    /// The server that the command is sent to now.
-    pub fn sent(&mut self, held: &mut Held) -> usize {
+    /// The server that the router sends the command to now.
+    pub fn sent(&mut self, held: &mut PendingCommand) -> usize {
         match self.place(held) {
-            Place::Dispatch { server, .. } => {
+            Placement::Dispatch { server, .. } => {
                 self.put(held, server);
                 server
             }
@@ -156,42 +156,49 @@
         }
     }
 
-    /// Notes in the command's history that it went to this server now.
-    pub fn put(&self, held: &mut Held, server: usize) {
-        held.dispatches.push(Dispatch::at_once(server, self.now));
+    /// Records a dispatch of the command to this server now.
+    pub fn put(&self, held: &mut PendingCommand, server: usize) {
+        held.dispatches.push(Dispatch::written_immediately(server, self.now));
     }
 
-    /// How many of so many new commands are sent now.
+    /// How many of `count` new commands the router dispatches now.
     pub fn taken(&mut self, command_group: usize, count: usize) -> usize {
         let sent = (0..count).filter(|_| {
             let held = self.command(command_group);
-            matches!(self.place(&held), Place::Dispatch { .. })
+            matches!(self.place(&held), Placement::Dispatch { .. })
         });
         sent.count()
     }
 
-    /// So many commands of this group are answered in so long each: how many each member got.
+    /// Has `count` commands answered in `took` each and returns how many each member got.
     pub fn answered(&mut self, command_group: usize, count: usize, took: Micros) -> Vec<usize> {
         let mut seen = vec![0; self.entries.len()];
         for _ in 0..count {
             let mut held = self.command(command_group);
             seen[self.sent(&mut held)] += 1;
-            self.end(&mut held, Ending::Answered, took);
+            self.end(&mut held, DispatchEnd::Answered, took);
         }
         seen
     }
 
-    /// The command's last dispatch ends so, after `took`.
-    pub fn end(&mut self, held: &mut Held, ending: Ending, took: Micros) {
+    /// Ends the command's last dispatch after `took`.
+    pub fn end(&mut self, held: &mut PendingCommand, ending: DispatchEnd, took: Micros) {
         self.now += took;
         self.end_one(held, held.dispatches.len() - 1, ending, took);
     }
 
-    /// One of its dispatches ends so now, having taken `took`.
-    pub fn end_one(&mut self, held: &mut Held, dispatch: usize, ending: Ending, took: Micros) {
+    /// Ends one of the command's dispatches now, having taken `took`.
+    pub fn end_one(&mut self, held: &mut PendingCommand, dispatch: usize, ending: DispatchEnd, took: Micros) {
         held.dispatches[dispatch].ended = Some(ending);
-        let over = ending == Ending::Answered;
-        let outcome = Outcome { dispatch, ending, took, over, stated: Report::default(), report: None };
-        self.router.after(self.now, held, &outcome);
+        let over = ending == DispatchEnd::Answered;
+        let outcome = Outcome {
+            dispatch,
+            ending,
+            took,
+            finished: over,
+            answer_report: Report::default(),
+            load_report: None,
+        };
+        self.router.on_outcome(self.now, held, &outcome);
     }
 }
