--- a/crates/accord/src/rules.rs
+++ b/crates/accord/src/rules.rs
@@ -5,7 +5,7 @@
 
 use serde_json::Value as Json;
 use tansyjunction::interface::ServerState;
-use tansyjunction_hosting::List;
+use tansyjunction_hosting::ServerList;
 
 use crate::meet::{Agreed, Class, Free, Least, Meet, Most, Permits, Strictest, class};
 
@@ -240,7 +240,7 @@
         let settings = config.get("settings").ok_or("'settings' is missing")?;
         let list = match &config["known"] {
             Json::Null => None,
-            list => Some(List::read(list).map_err(|message| format!("'known': {message}"))?),
+            list => Some(ServerList::parse_strict(list).map_err(|message| format!("'known': {message}"))?),
         };
         let number = |part: &Json, key: &str, absent: f64| part[key].as_f64().unwrap_or(absent);
         let flag = |part: &Json, key: &str| part[key] == true;
@@ -341,14 +341,14 @@
                 rules.others.insert(key.clone(), Agreed(Some(value.to_string())));
             }
         }
-        for host in list.into_iter().flat_map(|list| list.hosts) {
-            if host.primary && host.standing == ServerState::Serving {
+        for host in list.into_iter().flat_map(|list| list.servers) {
+            if host.primary && host.state == ServerState::Serving {
                 let leads = Agreed(Some(host.name.clone()));
                 // Two that the list says lead one shard: nobody may be taken to.
                 let known = rules.primaries.get(&host.group).map(|known| known.meet(&leads));
                 rules.primaries.insert(host.group.clone(), known.unwrap_or(leads));
             }
-            let stands = match host.standing {
+            let stands = match host.state {
                 ServerState::Serving => Stands::Serving,
                 ServerState::Draining => Stands::Draining,
                 ServerState::Gone => Stands::Gone,
@@ -359,7 +359,7 @@
                 zone: Free(host.zone),
                 size: Least(host.size),
                 started: Most(host.started.unwrap_or(0) as f64),
-                address: Free(host.dial.map(|dial| dial.to_string()).unwrap_or_default()),
+                address: Free(host.address.map(|dial| dial.to_string()).unwrap_or_default()),
             };
             rules.hosts.insert(host.name, one);
         }
--- a/crates/expect/src/check.rs
+++ b/crates/expect/src/check.rs
@@ -97,8 +97,8 @@
 }
 
 /// The router itself.
-pub fn router(named: &SettingsByName, seed: u64) -> Result<Router, String> {
-    Router::new(named.clone(), seed)
+pub fn router(settings_by_name: &SettingsByName, seed: u64) -> Result<Router, String> {
+    Router::new(settings_by_name.clone(), seed)
 }
 
 /// Checks all expectations; `stop` tells when the time is over. Input that can't be used at all is an error.
--- a/crates/expect/src/explain.rs
+++ b/crates/expect/src/explain.rs
@@ -52,7 +52,7 @@
         }
         let session = (group.need == Need::Session).then_some(1);
         let coming = Coming { after: 0, command_group, shard: place, session, written_ago: None };
-        let router = make(&subject.named, 0)?;
+        let router = make(&subject.settings_by_name, 0)?;
         let mut world = World::begin(subject.clone(), router, start, Arc::new(vec![coming]));
         while let Stop::Sent { dispatch, server, timeout } = world.run() {
             world.happens(0, dispatch, server, timeout, None);
--- a/crates/expect/src/explore.rs
+++ b/crates/expect/src/explore.rs
@@ -122,7 +122,7 @@
     }
     let mut other = Subject::clone(subject);
     other.own_zone = zone;
-    other.named.insert("zone".into(), Value::Number(zone as f64));
+    other.settings_by_name.insert("zone".into(), Value::Number(zone as f64));
     Arc::new(other)
 }
 
@@ -272,7 +272,7 @@
     make: Make<S>,
     met: &mut Met,
 ) -> Result<Found, String> {
-    let router = make(&subject.named, setting.seed)?;
+    let router = make(&subject.settings_by_name, setting.seed)?;
     let world = World::begin(subject.clone(), router, start, coming);
     let mut search = Search {
         must: &expectation.must,
@@ -463,7 +463,8 @@
     let starts = state::starts_with(&subject, worlds, &setting.state, setting.shard, &lags);
     let start = starts.get(setting.place).ok_or("the state has no such world any more")?;
     let coming = coming(&subject, expectation, setting.command, setting.shard);
-    let mut world = World::begin(subject.clone(), make(&subject.named, setting.seed)?, start, coming);
+    let mut world =
+        World::begin(subject.clone(), make(&subject.settings_by_name, setting.seed)?, start, coming);
     for choice in choices {
         world.router.picks(Some(PrescribedDraws {
             max_bound: PICKS_MOST,
--- a/crates/expect/src/report/narrate.rs
+++ b/crates/expect/src/report/narrate.rs
@@ -43,8 +43,8 @@
                     format!("to {}, for {} at most", name(*server), time(*timeout))
                 }
                 Placement::Hold => "not yet".into(),
-                Placement::Abandon(FinalAnswer::Throttled { come_back: 0 }) => "throttled".into(),
-                Placement::Abandon(FinalAnswer::Throttled { come_back }) => {
+                Placement::Abandon(FinalAnswer::Throttled { retry_after: 0 }) => "throttled".into(),
+                Placement::Abandon(FinalAnswer::Throttled { retry_after: come_back }) => {
                     format!("throttled, to come back after {}", time(*come_back))
                 }
                 Placement::Abandon(FinalAnswer::Failed) => "failed".into(),
--- a/crates/expect/src/subject.rs
+++ b/crates/expect/src/subject.rs
@@ -4,7 +4,7 @@
 
 use serde_json::Value as Json;
 use tansyjunction::interface::*;
-use tansyjunction_hosting::{List, named};
+use tansyjunction_hosting::{ServerList, convert_settings};
 
 /// What a command group needs of the data that it reads, in the rules' terms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -95,7 +95,7 @@
     /// Where it was read.
     pub file: String,
     pub json: Json,
-    pub named: SettingsByName,
+    pub settings_by_name: SettingsByName,
     pub zones: Vec<String>,
     pub own_zone: usize,
     pub command_groups: Vec<CommandGroup>,
@@ -119,9 +119,10 @@
 
     fn take(file: &str, json: Json) -> Result<Subject, String> {
         let settings = json.get("settings").ok_or("'settings' is missing")?;
-        let named = named(settings);
+        let settings_by_name = convert_settings(settings);
         // The router checks what it picks of the settings.
-        tansyjunction::Router::new(named.clone(), 0).map_err(|message| format!("'settings': {message}"))?;
+        tansyjunction::Router::new(settings_by_name.clone(), 0)
+            .map_err(|message| format!("'settings': {message}"))?;
         let names = |list: &Json| -> Vec<String> {
             let each = list.as_array().map_or(&[][..], Vec::as_slice).iter();
             each.filter_map(|name| name.as_str().map(String::from)).collect()
@@ -135,12 +136,12 @@
             None => return Err(format!("'settings.my_zone' {} is not in 'localities'", settings["my_zone"])),
         };
         let each = settings["categories"].as_array().map_or(&[][..], Vec::as_slice);
-        let command_groups = (0..each.len()).map(|k| command_group(&named, k, &each[k]));
+        let command_groups = (0..each.len()).map(|k| command_group(&settings_by_name, k, &each[k]));
         let command_groups = command_groups.collect::<Result<Vec<_>, String>>()?;
         let mut subject = Subject {
             file: file.into(),
-            figures: figures(&named, settings),
-            named,
+            figures: figures(&settings_by_name, settings),
+            settings_by_name,
             zones,
             own_zone,
             command_groups,
@@ -149,11 +150,11 @@
             json: Json::Null,
         };
         if let Some(list) = json.get("known").filter(|list| !list.is_null()) {
-            let list = List::read(list).map_err(|message| format!("'known': {message}"))?;
-            for host in list.hosts {
+            let list = ServerList::parse_strict(list).map_err(|message| format!("'known': {message}"))?;
+            for host in list.servers {
                 let zone = subject.zones.iter().position(|zone| *zone == host.zone);
                 let zone = zone.ok_or(format!("'known': {} is in zone '{}'", host.name, host.zone))?;
-                subject.add(&host.name, &host.group, zone, host.size, host.standing, host.primary)?;
+                subject.add(&host.name, &host.group, zone, host.size, host.state, host.primary)?;
             }
         }
         subject.json = json;
@@ -188,35 +189,35 @@
     }
 }
 
-fn number(named: &SettingsByName, name: &str, default: f64) -> f64 {
-    if let Some(Value::Number(number)) = named.get(name) { *number } else { default }
+fn number(settings_by_name: &SettingsByName, name: &str, default: f64) -> f64 {
+    if let Some(Value::Number(number)) = settings_by_name.get(name) { *number } else { default }
 }
 
-fn text<'a>(named: &'a SettingsByName, name: &str) -> &'a str {
-    if let Some(Value::Text(text)) = named.get(name) { text } else { "" }
+fn text<'a>(settings_by_name: &'a SettingsByName, name: &str) -> &'a str {
+    if let Some(Value::Text(text)) = settings_by_name.get(name) { text } else { "" }
 }
 
-fn flag(named: &SettingsByName, name: &str) -> bool {
-    named.get(name) == Some(&Value::Flag(true))
+fn flag(settings_by_name: &SettingsByName, name: &str) -> bool {
+    settings_by_name.get(name) == Some(&Value::Flag(true))
 }
 
-fn command_group(named: &SettingsByName, k: usize, json: &Json) -> Result<CommandGroup, String> {
+fn command_group(settings_by_name: &SettingsByName, k: usize, json: &Json) -> Result<CommandGroup, String> {
     let name = json["name"].as_str().ok_or(format!("'settings.categories.{k}.name' is missing"))?;
     let part = |part: &str| format!("command_group.{k}.{part}");
-    let time = |key: &str| number(named, &part(key), 0.0) as Micros;
-    let need = match text(named, &part("need")) {
+    let time = |key: &str| number(settings_by_name, &part(key), 0.0) as Micros;
+    let need = match text(settings_by_name, &part("need")) {
         "any" => Need::Any,
         "bounded" => Need::Bounded(time("bound")),
         "session" => Need::Session,
         "fresh" => Need::Fresh,
         _ => Need::Write,
     };
-    let within = match text(named, &part("scope")) {
+    let within = match text(settings_by_name, &part("scope")) {
         "all" => Within::All,
         "zone" => Within::Zone,
         _ => Within::Group,
     };
-    let effect = match text(named, &part("effect")) {
+    let effect = match text(settings_by_name, &part("effect")) {
         "replayable" => Effect::Replayable,
         "keyed" => Effect::Keyed(within, time("repeat_within")),
         _ => Effect::Mutating,
@@ -225,29 +226,29 @@
     Ok(CommandGroup { name: name.into(), need, effect, response_target, client_timeout })
 }
 
-fn figures(named: &SettingsByName, settings: &Json) -> Figures {
-    let time = |name: &str| number(named, name, 0.0) as Micros;
+fn figures(settings_by_name: &SettingsByName, settings: &Json) -> Figures {
+    let time = |name: &str| number(settings_by_name, name, 0.0) as Micros;
     let dial = settings["limits"]["dial_timeout"].as_f64().map(|nanos| (nanos / 1_000.0) as Micros);
     Figures {
-        guards: match text(named, "guards") {
+        guards: match text(settings_by_name, "guards") {
             "wait" => Guards::Wait(time("guard_wait")),
             "refuse" => Guards::Refuse,
             _ => Guards::None,
         },
         stamped: settings["domain"]["answers_stamped"] == true,
         reports: settings["telemetry"]["how"] == "piggyback",
-        carried: text(named, "session_marks") == "carried",
-        routers: number(named, "routers", 1.0).max(1.0),
-        max_dispatches: number(named, "limits.max_dispatches", 1.0) as usize,
-        second_copies: flag(named, "limits.second_copies"),
-        gone_binds: !flag(named, "rules.gone_is_advice"),
+        carried: text(settings_by_name, "session_marks") == "carried",
+        routers: number(settings_by_name, "routers", 1.0).max(1.0),
+        max_dispatches: number(settings_by_name, "limits.max_dispatches", 1.0) as usize,
+        second_copies: flag(settings_by_name, "limits.second_copies"),
+        gone_binds: !flag(settings_by_name, "rules.gone_is_advice"),
         answer_grace: time("rules.answer_grace"),
         drain_grace: time("rules.drain_grace"),
         connect_within: dial.unwrap_or(250_000),
         cold: time("rules.cold"),
-        cold_from: number(named, "rules.cold_from", 1.0),
-        fall_multiple: number(named, "rules.fall_multiple", 0.0),
+        cold_from: number(settings_by_name, "rules.cold_from", 1.0),
+        fall_multiple: number(settings_by_name, "rules.fall_multiple", 0.0),
         fall_for: time("rules.fall_for"),
-        round: number(named, "round", 5_000.0) as Micros,
+        round: number(settings_by_name, "round", 5_000.0) as Micros,
     }
 }
--- a/crates/expect/src/world.rs
+++ b/crates/expect/src/world.rs
@@ -617,7 +617,7 @@
                 self.ask(place)
             }
             NextStep::PlaceAgain => None,
-            NextStep::Finished { recall } => {
+            NextStep::Finished { cancel: recall } => {
                 for dispatch in recall {
                     self.recall(place, dispatch);
                 }
--- a/crates/expect/tests/lying.rs
+++ b/crates/expect/tests/lying.rs
@@ -73,7 +73,7 @@
             }
             (Lie::ResendsLate, Some(_)) if ran && left > 0 => return Placement::Hold,
             (Lie::Throttles, Some(_)) if ran => {
-                return Placement::Abandon(FinalAnswer::Throttled { come_back: 0 });
+                return Placement::Abandon(FinalAnswer::Throttled { retry_after: 0 });
             }
             _ => {}
         }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -20,7 +20,7 @@
 use calloop::{Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
 use tansyjunction::Router;
 use tansyjunction::interface::*;
-use tansyjunction_hosting::{Commands, DueTimes, Names};
+use tansyjunction_hosting::{NameNumbers, PendingCommands, TimerQueue};
 use tansyjunction_settings::Program;
 
 use self::company::Company;
@@ -55,9 +55,9 @@
     pub clock: Clock,
     deployment: Deployment,
     router: Router,
-    commands: Commands,
-    servers_named: Names,
-    groups: Names,
+    commands: PendingCommands,
+    servers_named: NameNumbers,
+    groups: NameNumbers,
     sessions: Sessions,
     clients: Clients,
     servers: Servers,
@@ -66,7 +66,7 @@
     /// Each step of each command is logged, and what members lacked for the one asked about last.
     steps: bool,
     lacking: Vec<MemberDiagnosis>,
-    due: DueTimes<Due>,
+    due: TimerQueue<Due>,
     /// Clients whose next message may be taken.
     resume: Turns,
     /// When the router is to be asked what is due.
@@ -105,9 +105,9 @@
             handle,
             clock: Clock::start(),
             router: std::mem::take(&mut deployment.router),
-            commands: Commands::written_later(),
-            servers_named: Names::default(),
-            groups: Names::default(),
+            commands: PendingCommands::with_deferred_writes(),
+            servers_named: NameNumbers::default(),
+            groups: NameNumbers::default(),
             sessions: Sessions::default(),
             clients: Clients::default(),
             servers: Servers::default(),
@@ -115,7 +115,7 @@
             listener: Some(listener),
             steps: steps::wanted(),
             lacking: Vec::new(),
-            due: DueTimes::default(),
+            due: TimerQueue::default(),
             resume: Turns::default(),
             router_due: 0,
             holds: Holds::new(&deployment, program),
--- a/crates/gateway/src/gateway/clients.rs
+++ b/crates/gateway/src/gateway/clients.rs
@@ -2,7 +2,7 @@
 
 use calloop::Readiness;
 use tansyjunction::interface::*;
-use tansyjunction_hosting::at_millis;
+use tansyjunction_hosting::micros_from_millis;
 use tracing::warn;
 
 use super::{Due, Gateway, is_no_descriptor};
@@ -284,7 +284,7 @@
                 return;
             }
         };
-        let client_timeout = (came + at_millis(head.wait)).min(self.stops.unwrap_or(Micros::MAX));
+        let client_timeout = (came + micros_from_millis(head.wait)).min(self.stops.unwrap_or(Micros::MAX));
         let until = client_timeout.min(now + self.deployment.longest_wait);
         let session = self.deployment.command_groups[command_group].session;
         let session = session.then(|| self.sessions.of(head.key, now, until));
@@ -296,13 +296,13 @@
             arrived: now,
             client_timeout,
             // A commit of this very moment still counts as one.
-            last_write_age: head.after.map(|after| now.saturating_sub(at_millis(after)).max(1)),
+            last_write_age: head.after.map(|after| now.saturating_sub(micros_from_millis(after)).max(1)),
             // Clients here do not say.
             customer: None,
         };
         let in_hand = InHand { command, id: head.id.into(), length, wait_at: head.wait_at };
         self.clients.waits(key, in_hand);
-        self.commands.take(command, taken);
+        self.commands.add(command, taken);
         self.step_taken(command);
         // Guards against a first question that is not asked at the arrival: the router tells new commands by that.
         self.ask_at(now, command);
@@ -337,9 +337,9 @@
         let Some((client, command)) = self.clients.remove(key) else { return };
         self.handle.remove(client.token);
         if let Some(command) = command {
-            let dispatches = self.commands.dispatches(command).unwrap_or(0);
+            let dispatches = self.commands.dispatch_count(command).unwrap_or(0);
             self.step_left(command);
-            self.commands.client_gone(&mut self.router, self.clock.now(), command);
+            self.commands.on_client_gone(&mut self.router, self.clock.now(), command);
             self.no_longer_held(command);
             // What is written whole may have run and ends by itself.
             for dispatch in 0..dispatches {
--- a/crates/gateway/src/gateway/commands.rs
+++ b/crates/gateway/src/gateway/commands.rs
@@ -22,9 +22,9 @@
     pub(super) fn ask_router(&mut self, now: Micros, command: u64) {
         self.router_due = now;
         self.step_asked(now, command);
-        let Some((place, recall)) = self.commands.ask(&mut self.router, now, command) else { return };
+        let Some((place, recall)) = self.commands.place(&mut self.router, now, command) else { return };
         self.step_placed(command, &place);
-        let dispatch = self.commands.dispatches(command).unwrap_or(0).saturating_sub(1);
+        let dispatch = self.commands.dispatch_count(command).unwrap_or(0).saturating_sub(1);
         for dispatch in recall {
             self.recall(command, dispatch);
         }
@@ -49,7 +49,7 @@
     /// Gives the client a final answer other than a server's.
     pub(super) fn answer_finally(&mut self, command: u64, last: FinalAnswer) {
         let error = match last {
-            FinalAnswer::Throttled { come_back } => {
+            FinalAnswer::Throttled { retry_after: come_back } => {
                 let advice = (come_back > 0).then(|| come_back.div_ceil(1_000).to_string());
                 frames::error(
                     "ERROR",
@@ -91,7 +91,7 @@
 
     pub(super) fn dispatch_ended(&mut self, command: u64, dispatch: usize, ending: DispatchEnd, said: Said) {
         let now = self.clock.now();
-        let Some(sent) = self.commands.sent(command, dispatch) else { return };
+        let Some(sent) = self.commands.sent_at(command, dispatch) else { return };
         self.heard_of_role(now, command, dispatch, ending, &said);
         self.step_ended(now, command, dispatch, ending);
         self.saw_outcome(now, command, dispatch, ending, &said);
@@ -103,9 +103,9 @@
             answer_report: said.stated,
             load_report: said.report,
         };
-        match self.commands.ended(&mut self.router, now, command, outcome) {
+        match self.commands.on_dispatch_ended(&mut self.router, now, command, outcome) {
             Some(NextStep::PlaceAgain) => self.ask(command),
-            Some(NextStep::Finished { recall }) => {
+            Some(NextStep::Finished { cancel: recall }) => {
                 for dispatch in recall {
                     self.recall(command, dispatch);
                 }
--- a/crates/gateway/src/gateway/company.rs
+++ b/crates/gateway/src/gateway/company.rs
@@ -272,7 +272,7 @@
         ending: DispatchEnd,
         said: &Said,
     ) {
-        let Some(held) = self.commands.held(command).filter(|_| self.company.is_some()) else { return };
+        let Some(held) = self.commands.get(command).filter(|_| self.company.is_some()) else { return };
         let Some(server) = held.dispatches.get(dispatch).map(|d| d.server) else { return };
         let write = self.deployment.command_groups[held.command.command_group].primary;
         let position = said.stated.position.filter(|_| !write);
--- a/crates/gateway/src/gateway/control.rs
+++ b/crates/gateway/src/gateway/control.rs
@@ -11,7 +11,7 @@
 use calloop::{Interest, Mode, PostAction, RegistrationToken};
 use serde_json::{Value as Json, json};
 use tansyjunction::interface::Micros;
-use tansyjunction_hosting::Reminder;
+use tansyjunction_hosting::Timer;
 use tracing::{info, warn};
 
 use super::{Due, Gateway};
@@ -26,7 +26,7 @@
     stream: Rc<UnixStream>,
     token: RegistrationToken,
     inbox: Vec<u8>,
-    limit: Reminder,
+    limit: Timer,
 }
 
 /// The operators' connections. They are given back in [`Gateway::close_control`].
@@ -84,7 +84,7 @@
         };
         match self.handle.insert_source(source, ready) {
             Ok(token) => {
-                let mut limit = Reminder::default();
+                let mut limit = Timer::default();
                 limit.set(&mut self.due, Due::Control(key), self.clock.now() + SILENT_FOR);
                 let control = Control { stream, token, inbox: Vec::new(), limit };
                 self.controls.connections.insert(key, control);
@@ -103,7 +103,7 @@
     /// Guards against clients that send half a line and go on to hold a connection.
     pub(super) fn control_late(&mut self, key: u64, at: Micros) {
         let Some(control) = self.controls.connections.get_mut(&key) else { return };
-        if control.limit.is_due(&mut self.due, Due::Control(key), at) {
+        if control.limit.expire(&mut self.due, Due::Control(key), at) {
             self.close_control(key);
         }
     }
@@ -182,8 +182,8 @@
         let holds = self.holds.as_mut().ok_or("holds are switched off")?;
         let handover = &mut holds.handover;
         let done = match (what, target) {
-            ("plan", Some(target)) => handover.plan(now, shard, target),
-            ("abort", _) => handover.abort(now, shard),
+            ("plan", Some(target)) => handover.plan_change(now, shard, target),
+            ("abort", _) => handover.abort_change(now, shard),
             ("pause", _) => handover.pause(shard),
             ("resume", _) => handover.resume(now, shard),
             (other, _) => return Err(format!("'{other}' is neither plan, status, abort, pause nor resume")),
@@ -196,7 +196,7 @@
     fn control_status(&self, now: Micros) -> Result<Json, String> {
         let holds = self.holds.as_ref().ok_or("holds are switched off")?;
         let server = |server: &usize| self.servers_named.name(*server).to_string();
-        let shards = holds.handover.status().into_iter().map(|status| {
+        let shards = holds.handover.all_status().into_iter().map(|status| {
             json!({
                 "shard": self.groups.name(status.shard),
                 "phase": status.phase.name(),
@@ -206,7 +206,7 @@
                 "term": status.term,
                 "held": status.held,
                 "held_bytes": status.held_bytes,
-                "out": status.out,
+                "out": status.in_flight,
                 "paused": status.paused,
                 "fenced": status.fenced.iter().map(server).collect::<Vec<_>>(),
             })
--- a/crates/gateway/src/gateway/council.rs
+++ b/crates/gateway/src/gateway/council.rs
@@ -113,7 +113,7 @@
             match plan.step {
                 Step::Announced | Step::Switching if !held && plan.stop.is_none() => {
                     let Some(target) = self.servers_named.find(&plan.to) else { continue };
-                    if holds.handover.plan(now, place, target).is_ok() {
+                    if holds.handover.plan_change(now, place, target).is_ok() {
                         agreeing.holding.insert(*shard, (plan.number, plan.to.clone()));
                         info!(target: "servers", "shard {name} is to be led by {} as agreed", plan.to);
                     }
@@ -162,7 +162,7 @@
     /// What is known here of a shard whose primary is to change.
     fn planned(&self, agreeing: &Agreeing, shard: u32, plan: &Plan) -> Planned {
         let Some(place) = self.groups.find(&shard.to_string()) else { return Planned::default() };
-        let status = self.holds.as_ref().and_then(|holds| holds.handover.shard(place));
+        let status = self.holds.as_ref().and_then(|holds| holds.handover.shard_status(place));
         let word = status.and_then(|status| {
             let target = self.servers_named.find(&plan.to);
             let held = agreeing.holding.get(&shard).is_some_and(|(number, _)| *number == plan.number);
@@ -170,7 +170,7 @@
                 return Some(Word::Drained { number: plan.number });
             }
             // Who holds writes sends none to anybody.
-            let sends = status.phase.open() || status.phase == Phase::Releasing;
+            let sends = status.phase.accepts_writes() || status.phase == Phase::Releasing;
             let primary = status.primary.filter(|_| sends)?;
             Some(Word::Leads { server: self.servers_named.name(primary).into() })
         });
@@ -222,7 +222,7 @@
         let place = self.groups.find(name).ok_or_else(|| Unable::NoShard(name.into()))?;
         let target = self.servers_named.find(to).filter(|server| self.servers.shard(*server) == Some(place));
         let target = target.ok_or_else(|| Unable::NoServer { server: to.into(), shard: name.into() })?;
-        let status = self.holds.as_ref().and_then(|holds| holds.handover.shard(place));
+        let status = self.holds.as_ref().and_then(|holds| holds.handover.shard_status(place));
         let primary = status.and_then(|status| status.primary);
         let primary = primary.ok_or_else(|| Unable::NoPrimary(name.into()))?;
         if primary == target {
@@ -253,9 +253,9 @@
 
 /// Takes back what an agreed plan had the holds do, unless they are past it or an operator has other plans.
 fn abort(holds: &mut super::holds::Holds, now: Micros, place: usize, target: Option<usize>) {
-    let status = holds.handover.shard(place);
+    let status = holds.handover.shard_status(place);
     if target.is_some() && status.and_then(|status| status.target) == target {
         // Refused only where nothing is under way any more.
-        let _ = holds.handover.abort(now, place);
+        let _ = holds.handover.abort_change(now, place);
     }
 }
--- a/crates/gateway/src/gateway/discovery.rs
+++ b/crates/gateway/src/gateway/discovery.rs
@@ -6,7 +6,7 @@
 
 use calloop::{Readiness, RegistrationToken};
 use tansyjunction::interface::*;
-use tansyjunction_hosting::{List, Reminder};
+use tansyjunction_hosting::{ServerList, Timer};
 use tracing::warn;
 
 use super::{Due, Gateway};
@@ -79,14 +79,14 @@
     /// The whole list was not whole in time.
     slow: bool,
     /// When it is asked anew if nothing comes before.
-    pub(super) due: Reminder,
+    pub(super) due: Timer,
     /// The entries in force.
     listed: BTreeMap<usize, ServerListEntry>,
 }
 
 impl Default for Watch {
     fn default() -> Self {
-        let (due, listed) = (Reminder::default(), BTreeMap::new());
+        let (due, listed) = (Timer::default(), BTreeMap::new());
         Watch { call: None, version: None, pause: WATCH_AGAIN, silences: 0, slow: false, due, listed }
     }
 }
@@ -230,7 +230,7 @@
     }
 
     /// Takes in a list of servers, or its changes. Of a server that it names twice the last entry counts.
-    pub(super) fn listed(&mut self, list: List) {
+    pub(super) fn listed(&mut self, list: ServerList) {
         let now = self.clock.now();
         if !std::mem::replace(&mut self.ready, true) {
             self.takes = true;
@@ -240,7 +240,7 @@
         let (mut entries, mut worthless) = (Vec::new(), Vec::new());
         let mut left_out =
             if list.whole { BTreeSet::from_iter(self.servers.there()) } else { BTreeSet::new() };
-        for (name, message) in &list.unread {
+        for (name, message) in &list.invalid {
             warn!(target: "discovery", "discovery: {message}; {name} stays as it was");
             let known = self.servers_named.find(name).and_then(|server| self.watch.listed.get(&server));
             if let Some(known) = known {
@@ -248,20 +248,20 @@
                 entries.push(known.clone());
             }
         }
-        for host in &list.hosts {
-            let gone = host.standing == ServerState::Gone;
+        for host in &list.servers {
+            let gone = host.state == ServerState::Gone;
             if gone && self.servers_named.find(&host.name).is_none() {
                 continue;
             }
-            let server = self.servers_named.of(&host.name);
+            let server = self.servers_named.number_of(&host.name);
             left_out.remove(&server);
             let zones = &self.deployment.zones;
             let entry = ServerListEntry {
                 server,
-                group: self.groups.of(&host.group),
+                group: self.groups.number_of(&host.group),
                 zone: zones.iter().position(|zone| *zone == host.zone).unwrap_or(zones.len()),
                 size: host.size,
-                state: host.standing,
+                state: host.state,
                 primary: host.primary,
                 started: host.started,
             };
@@ -269,7 +269,7 @@
                 left_out.insert(server);
             } else {
                 self.watch.listed.insert(server, entry.clone());
-                worthless.extend(self.servers.known(server, host.dial, host.started));
+                worthless.extend(self.servers.known(server, host.address, host.started));
             }
             entries.push(entry);
         }
@@ -314,7 +314,7 @@
                 ServerListEntry { server, group, zone, size, state: standing, primary: false, started: None };
             self.router.update_server_list(now, Some(&[gone]), false);
             if let Some(holds) = &mut self.holds {
-                holds.handover.forget(server);
+                holds.handover.forget_server(server);
             }
             self.servers_named.forget(server);
         }
--- a/crates/gateway/src/gateway/due.rs
+++ b/crates/gateway/src/gateway/due.rs
@@ -30,9 +30,9 @@
         if !self.resume.is_empty() || self.queue_more {
             return 0;
         }
-        let holds = self.holds.as_ref().map(|holds| holds.handover.next());
+        let holds = self.holds.as_ref().map(|holds| holds.handover.next_due());
         let company = self.company.as_ref().map(Company::next);
-        let due = [self.commands.next_due(), self.due.next(), holds, company];
+        let due = [self.commands.next_due(), self.due.next_due(), holds, company];
         due.into_iter().flatten().fold(self.router_due, Micros::min)
     }
 
@@ -45,9 +45,9 @@
             }
         }
         loop {
-            if let Some(command) = self.commands.due(until) {
+            if let Some(command) = self.commands.take_due(until) {
                 self.ask(command);
-            } else if let Some((at, due)) = self.due.take(until) {
+            } else if let Some((at, due)) = self.due.pop_due(until) {
                 self.fell_due(at, due);
             } else {
                 break;
@@ -81,7 +81,7 @@
         match due {
             Due::Client(key) => {
                 let Some(client) = self.clients.get(key) else { return };
-                if !client.limit.is_due(&mut self.due, Due::Client(key), at) {
+                if !client.limit.expire(&mut self.due, Due::Client(key), at) {
                     return;
                 }
                 // Where something waits to be read, a last word would not be read either.
@@ -93,7 +93,7 @@
             }
             Due::Line(key) => {
                 let Some(line) = self.servers.get(key) else { return };
-                if !line.due.is_due(&mut self.due, Due::Line(key), at) {
+                if !line.due.expire(&mut self.due, Due::Line(key), at) {
                     return;
                 }
                 if line.job.is_some() {
@@ -105,7 +105,7 @@
             Due::Control(key) => self.control_late(key, at),
             Due::Council => self.council_beat(at),
             Due::Discovery => {
-                if self.watch.due.is_due(&mut self.due, Due::Discovery, at) {
+                if self.watch.due.expire(&mut self.due, Due::Discovery, at) {
                     self.discovery_due(at);
                 }
             }
@@ -131,7 +131,7 @@
                     // Guards against half a message, or an answer left unread, that began before and has
                     // longer than this process.
                     if let Some(client) = self.clients.get(key) {
-                        client.limit.hasten(&mut self.due, Due::Client(key), stops);
+                        client.limit.bring_forward(&mut self.due, Due::Client(key), stops);
                     }
                 }
             }
@@ -151,13 +151,13 @@
             self.leave_council();
             // Guards against commands in hand whose clients wait for longer than this process lasts: they get an
             // answer too, and may ask another gateway.
-            self.commands.hasten(stops);
+            self.commands.limit_timeouts(stops);
             if let Some(holds) = &mut self.holds {
-                holds.handover.hasten(now, stops);
+                holds.handover.limit_hold_time(now, stops);
             }
             for key in self.servers.hasten(stops) {
                 if let Some(line) = self.servers.get(key) {
-                    line.due.hasten(&mut self.due, Due::Line(key), stops);
+                    line.due.bring_forward(&mut self.due, Due::Line(key), stops);
                 }
             }
             self.due.add(now + most.saturating_sub(TAKES_NONE).max(LISTEN_ON), Due::Listener);
--- a/crates/gateway/src/gateway/holds.rs
+++ b/crates/gateway/src/gateway/holds.rs
@@ -2,7 +2,7 @@
 //! Nothing is decided here.
 
 use tansyjunction::interface::*;
-use tansyjunction_handover::{Admit, Figures, Handover, Write};
+use tansyjunction_handover::{Admission, Handover, HandoverConfig, Write};
 use tansyjunction_settings::Program;
 use tracing::{debug, info};
 
@@ -22,23 +22,23 @@
         if !set.enabled {
             return None;
         }
-        let figures = Figures {
-            held_most: set.held_most,
-            held_bytes: set.held_bytes,
-            held_client: set.held_client,
-            held_bytes_all: deployment.memory / 100 * set.held_memory,
-            announce_for: set.announce_for,
-            drain_for: set.drain_for,
-            switch_for: set.switch_for,
-            caught_up: set.caught_up,
-            gap: set.gap,
-            gap_least: set.gap_least,
+        let figures = HandoverConfig {
+            max_held_writes: set.held_most,
+            max_held_bytes: set.held_bytes,
+            max_held_per_client: set.held_client,
+            max_held_bytes_total: deployment.memory / 100 * set.held_memory,
+            catch_up_timeout: set.announce_for,
+            drain_timeout: set.drain_for,
+            switch_timeout: set.switch_for,
+            max_target_lag: set.caught_up,
+            release_gap: set.gap,
+            min_release_gap: set.gap_least,
             gateways: deployment.gateways,
-            usual: set.usual,
-            look_every: if deployment.probes && deployment.reports { set.look_every } else { 0 },
+            expected_duration: set.usual,
+            probe_interval: if deployment.probes && deployment.reports { set.look_every } else { 0 },
             suspect_after: set.suspect_after,
-            doubt_for: set.doubt_for,
-            ..Figures::default()
+            claim_lifetime: set.doubt_for,
+            ..HandoverConfig::default()
         };
         Some(Holds { handover: Handover::new(figures, deployment.seed) })
     }
@@ -48,7 +48,7 @@
     /// The write that a command is to the holds; None: they do not mind it.
     fn as_write(&self, command: u64) -> Option<Write> {
         self.holds.as_ref()?;
-        let held = self.commands.held(command)?;
+        let held = self.commands.get(command)?;
         let Command { command_group, group, session, arrived, client_timeout, .. } = held.command;
         let kind = &self.deployment.command_groups[command_group];
         if !kind.primary || group == usize::MAX {
@@ -66,25 +66,25 @@
     /// Whether a command may go to the router now. One that is held may not; one that can't be held is answered.
     pub(super) fn admitted(&mut self, now: Micros, command: u64) -> bool {
         let out = |held: &PendingCommand| held.dispatches.iter().any(|d| d.ended.is_none());
-        if self.holds.is_none() || self.commands.held(command).is_none_or(out) {
+        if self.holds.is_none() || self.commands.get(command).is_none_or(out) {
             return true;
         }
         let Some(write) = self.as_write(command) else { return true };
         let Some(holds) = &mut self.holds else { return true };
-        if holds.handover.holds(command) {
+        if holds.handover.is_held(command) {
             return false;
         }
         match holds.handover.admit(now, &write) {
-            Admit::Pass => true,
-            Admit::Hold => {
+            Admission::Pass => true,
+            Admission::Hold => {
                 debug!(target: "servers", command, shard = write.shard, "a write is held");
                 false
             }
-            Admit::Throttle { come_back } => {
-                self.give_up(command, FinalAnswer::Throttled { come_back });
+            Admission::Throttle { retry_after: come_back } => {
+                self.give_up(command, FinalAnswer::Throttled { retry_after: come_back });
                 false
             }
-            Admit::Fail => {
+            Admission::Fail => {
                 self.give_up(command, FinalAnswer::Failed);
                 false
             }
@@ -100,13 +100,13 @@
     pub(super) fn may_go(&mut self, command: u64, server: usize) -> bool {
         let Some(write) = self.as_write(command) else { return true };
         let Some(holds) = &mut self.holds else { return true };
-        holds.handover.allows(write.shard, server, command)
+        holds.handover.may_write_to(write.shard, server, command)
     }
 
     pub(super) fn no_longer_held(&mut self, command: u64) {
         let now = self.clock.now();
         if let Some(holds) = &mut self.holds {
-            holds.handover.ended(now, command);
+            holds.handover.on_write_finished(now, command);
         }
     }
 
@@ -119,17 +119,19 @@
         ending: DispatchEnd,
         said: &Said,
     ) {
-        let Some(held) = self.commands.held(command).filter(|_| self.holds.is_some()) else { return };
+        let Some(held) = self.commands.get(command).filter(|_| self.holds.is_some()) else { return };
         let (shard, kind) = (held.command.group, held.command.command_group);
         let Some(server) = held.dispatches.get(dispatch).map(|d| d.server) else { return };
         let write = self.deployment.command_groups[kind].primary;
         let Some(holds) = &mut self.holds else { return };
         let (stated, handover) = (said.stated, &mut holds.handover);
         match ending {
-            DispatchEnd::Answered if write => handover.answered(now, shard, server, command, stated.position),
-            DispatchEnd::Missed if write => handover.denies(now, shard, server, None),
+            DispatchEnd::Answered if write => {
+                handover.on_write_answered(now, shard, server, command, stated.position)
+            }
+            DispatchEnd::Missed if write => handover.on_primary_denial(now, shard, server, None),
             DispatchEnd::Unconnected | DispatchEnd::Reset | DispatchEnd::TimedOut => {
-                handover.lost(now, shard, server);
+                handover.on_failure(now, shard, server);
             }
             DispatchEnd::Unsent | DispatchEnd::Recalled => {}
             _ => self.told_role(now, shard, server, stated),
@@ -139,8 +141,8 @@
     fn told_role(&mut self, now: Micros, shard: usize, server: usize, report: Report) {
         let Some(holds) = &mut self.holds else { return };
         match report.primary {
-            Some(true) => holds.handover.claims(now, shard, server, report.position),
-            Some(false) => holds.handover.denies(now, shard, server, report.position),
+            Some(true) => holds.handover.on_primary_claim(now, shard, server, report.position),
+            Some(false) => holds.handover.on_primary_denial(now, shard, server, report.position),
             None => {}
         }
     }
@@ -157,7 +159,7 @@
         if let Some(holds) = &mut self.holds
             && matches!(ending, DispatchEnd::Unconnected | DispatchEnd::Reset | DispatchEnd::TimedOut)
         {
-            holds.handover.lost(now, shard, server);
+            holds.handover.on_failure(now, shard, server);
             return;
         }
         // What the answer itself states is newer than the report in it.
@@ -177,7 +179,7 @@
                 ServerState::Draining => true,
                 ServerState::Gone => gone_binds,
             };
-            holds.handover.listed(now, entry.group, entry.server, entry.primary, leaving);
+            holds.handover.on_list_entry(now, entry.group, entry.server, entry.primary, leaving);
         }
     }
 
@@ -186,29 +188,30 @@
         let now = self.clock.now();
         // What is released may end at once and make more due; a few rounds are enough, the rest has the next turn.
         for _ in 0..4 {
-            let Some(holds) = self.holds.as_mut().filter(|h| h.handover.next() <= now) else { return };
+            let Some(holds) = self.holds.as_mut().filter(|h| h.handover.next_due() <= now) else { return };
             let due = holds.handover.due(now);
-            self.log_turns(&due.turned);
-            if !due.turned.is_empty() {
+            self.log_turns(&due.changed_shards);
+            if !due.changed_shards.is_empty() {
                 self.turned_council();
             }
             for (command, come_back) in due.give_up {
-                let last =
-                    come_back.map_or(FinalAnswer::Failed, |come_back| FinalAnswer::Throttled { come_back });
+                let last = come_back.map_or(FinalAnswer::Failed, |come_back| FinalAnswer::Throttled {
+                    retry_after: come_back,
+                });
                 self.give_up(command, last);
             }
-            for server in due.looks {
+            for server in due.probe {
                 let until = now + self.deployment.connect_within;
                 if let Err(ending) = self.begin(server, Job::Probe, now, until) {
                     self.job_ended(server, Job::Probe, ending, Said::default(), None);
                 }
             }
-            for command in due.recall {
+            for command in due.cancel {
                 self.call_off(command);
             }
             for command in due.release {
                 // Guards against throttling at once what has waited here and finds no room there at first.
-                self.commands.put_off(command, now);
+                self.commands.set_arrival(command, now);
                 self.ask_router(now, command);
             }
         }
@@ -216,7 +219,7 @@
 
     /// Calls off what is out of a command, where the settings let dispatches be called off.
     fn call_off(&mut self, command: u64) {
-        let Some(held) = self.commands.held(command).filter(|_| self.deployment.recalls) else { return };
+        let Some(held) = self.commands.get(command).filter(|_| self.deployment.recalls) else { return };
         let out = held.dispatches.iter().enumerate().filter(|(_, d)| d.ended.is_none());
         for dispatch in out.map(|(place, _)| place).collect::<Vec<_>>() {
             self.recall(command, dispatch);
@@ -225,7 +228,7 @@
 
     fn log_turns(&self, turned: &[usize]) {
         let Some(holds) = self.holds.as_ref().filter(|_| !turned.is_empty()) else { return };
-        for status in holds.handover.status().iter().filter(|status| turned.contains(&status.shard)) {
+        for status in holds.handover.all_status().iter().filter(|status| turned.contains(&status.shard)) {
             let shard = self.groups.name(status.shard);
             let primary = status.primary.map_or("nobody", |server| self.servers_named.name(server));
             let (phase, held, term) = (status.phase.name(), status.held, status.term);
--- a/crates/gateway/src/gateway/scout.rs
+++ b/crates/gateway/src/gateway/scout.rs
@@ -5,7 +5,7 @@
 use tansyjunction::interface::*;
 use tansyjunction_duties::{Found, Heard, Known, Scout};
 use tansyjunction_fellows::evidence::Fact;
-use tansyjunction_hosting::Names;
+use tansyjunction_hosting::NameNumbers;
 
 use super::Gateway;
 use crate::council::Scouted;
@@ -25,7 +25,7 @@
     }
 
     /// By groups' names.
-    pub fn done(&self, groups: &Names) -> BTreeMap<String, Scouted> {
+    pub fn done(&self, groups: &NameNumbers) -> BTreeMap<String, Scouted> {
         let told = self.done.iter().map(|(group, (probes, spared))| {
             let waits = self.out.iter().any(|(of, _)| of == group);
             (groups.name(*group).to_string(), Scouted { probes: *probes, spared: *spared, waits })
--- a/crates/gateway/src/gateway/servers.rs
+++ b/crates/gateway/src/gateway/servers.rs
@@ -192,7 +192,7 @@
         let Some(line) = self.servers.get(key) else { return };
         line.written = Some(now);
         if let Some(Job::Command { command, dispatch }) = line.job {
-            self.commands.written(command, dispatch, now);
+            self.commands.on_written(command, dispatch, now);
         }
     }
 
@@ -243,7 +243,7 @@
         let mut bytes: Vec<&[u8]> = parts.iter().map(|part| &rest[part.clone()]).collect();
         bytes.push(frames::READY);
         let written = client.answer(&bytes);
-        self.commands.over(command);
+        self.commands.mark_finished(command);
         self.answered(command, written);
     }
 
--- a/crates/gateway/src/gateway/steps.rs
+++ b/crates/gateway/src/gateway/steps.rs
@@ -26,7 +26,7 @@
 
 impl Gateway {
     pub(super) fn step_taken(&self, command: u64) {
-        let Some(held) = self.commands.held(command).filter(|_| self.steps) else { return };
+        let Some(held) = self.commands.get(command).filter(|_| self.steps) else { return };
         let Some(in_hand) = self.in_hand(command) else { return };
         let (cmd, kind) = (&held.command, &self.deployment.command_groups[held.command.command_group]);
         let (wait, target) = (cmd.client_timeout.saturating_sub(cmd.arrived), kind.response_target);
@@ -40,7 +40,7 @@
 
     /// Keeps what the members lack as the router is asked, in case it gives the command up or sends it on.
     pub(super) fn step_asked(&mut self, now: Micros, command: u64) {
-        let Some(held) = self.commands.held(command).filter(|_| self.steps) else { return };
+        let Some(held) = self.commands.get(command).filter(|_| self.steps) else { return };
         self.lacking = self.router.lacks(now, held);
     }
 
--- a/crates/gateway/src/run/deployment.rs
+++ b/crates/gateway/src/run/deployment.rs
@@ -6,7 +6,7 @@
 use serde_json::Value as Json;
 use tansyjunction::Router;
 use tansyjunction::interface::Micros;
-use tansyjunction_hosting::{List, named};
+use tansyjunction_hosting::{ServerList, convert_settings};
 
 /// Nanoseconds, the settings' unit, in a microsecond.
 const NANOS: f64 = 1_000.0;
@@ -54,7 +54,7 @@
     /// Addresses of all gateways by their numbers, and this one's number.
     pub peers: Vec<SocketAddr>,
     pub number: usize,
-    pub known: Option<List>,
+    pub known: Option<ServerList>,
     pub zones: Vec<String>,
     /// The zone that this gateway stands in.
     pub zone: String,
@@ -104,7 +104,7 @@
         };
         let known = match &json["known"] {
             Json::Null => None,
-            list => Some(List::read(list).map_err(|message| format!("'known': {message}"))?),
+            list => Some(ServerList::parse_strict(list).map_err(|message| format!("'known': {message}"))?),
         };
         let peers = json["peers"].as_array().map_or(&[][..], Vec::as_slice).iter();
         // They are checked; who the others are stands in the program's own settings.
@@ -178,8 +178,8 @@
             Json::String(text) => Some(address("peer_listen", text)?),
             _ => None,
         };
-        let router =
-            Router::new(named(settings), seed).map_err(|message| format!("'settings': {message}"))?;
+        let router = Router::new(convert_settings(settings), seed)
+            .map_err(|message| format!("'settings': {message}"))?;
         Ok(Deployment {
             name: word("name", "BALANCER_NAME")?,
             listen: address("listen", &word("listen", "BALANCER_LISTEN")?)?,
@@ -213,7 +213,7 @@
 impl std::fmt::Display for Deployment {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let (name, listen, groups) = (&self.name, self.listen, self.command_groups.len());
-        let known = self.known.as_ref().map_or(0, |list| list.hosts.len());
+        let known = self.known.as_ref().map_or(0, |list| list.servers.len());
         write!(f, "{name}: listens on {listen}, {groups} command groups, {known} servers known")
     }
 }
--- a/crates/gateway/src/wire/client.rs
+++ b/crates/gateway/src/wire/client.rs
@@ -7,7 +7,7 @@
 
 use calloop::RegistrationToken;
 use tansyjunction::interface::Micros;
-use tansyjunction_hosting::Reminder;
+use tansyjunction_hosting::Timer;
 
 use crate::wire::bytes::{Inbox, Outbox, Reading, has_ended};
 use crate::wire::frames;
@@ -88,7 +88,7 @@
     /// Messages taken so far, and until when what it is in the middle of may go on.
     taken: u64,
     minded: Option<(Micros, u64)>,
-    pub limit: Reminder,
+    pub limit: Timer,
 }
 
 impl Client {
@@ -108,7 +108,7 @@
             used: now,
             taken: 0,
             minded: None,
-            limit: Reminder::default(),
+            limit: Timer::default(),
         }
     }
 
--- a/crates/gateway/src/wire/directory.rs
+++ b/crates/gateway/src/wire/directory.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpStream};
 
 use serde_json::Value as Json;
-use tansyjunction_hosting::List;
+use tansyjunction_hosting::ServerList;
 
 use crate::wire::bytes::{Inbox, Outbox, Reading};
 
@@ -45,7 +45,7 @@
     /// Anything at all.
     pub bytes: bool,
     /// Lists that are whole.
-    pub lists: Vec<List>,
+    pub lists: Vec<ServerList>,
     /// A whole sign of life: a list, or an empty line between two.
     pub whole: bool,
 }
@@ -288,7 +288,7 @@
     }
 }
 
-fn parse(text: &[u8]) -> Result<List, String> {
+fn parse(text: &[u8]) -> Result<ServerList, String> {
     let json: Json = serde_json::from_slice(text).map_err(|error| format!("not JSON: {error}"))?;
-    List::told(&json)
+    ServerList::parse(&json)
 }
--- a/crates/gateway/src/wire/directory/tests.rs
+++ b/crates/gateway/src/wire/directory/tests.rs
@@ -159,7 +159,7 @@
         answer.inbox.put(part);
         answer.take(&mut came).expect("it parses");
     }
-    assert_eq!((came.lists.len(), came.lists[0].hosts.len()), (1, 4_000));
+    assert_eq!((came.lists.len(), came.lists[0].servers.len()), (1, 4_000));
     assert!(began.elapsed() < Duration::from_secs(20), "{:?}", began.elapsed());
 }
 
@@ -172,7 +172,7 @@
     let mut came = Came::default();
     answer.inbox.put(format!("{HEAD}{text}{text} \r\n{text}").as_bytes());
     answer.take(&mut came).expect("it parses");
-    assert_eq!((came.lists.len(), came.lists[2].hosts[0].name.as_str()), (3, "s1\\\"]}{[\\"));
+    assert_eq!((came.lists.len(), came.lists[2].servers[0].name.as_str()), (3, "s1\\\"]}{[\\"));
     for (part, signs) in
         [("", false), (" ", false), ("\n", true), ("\r\n", true), ("{", false), ("{\n\n", false)]
     {
@@ -209,9 +209,9 @@
         }
         let lists = came.lists;
         assert_eq!(lists.iter().map(|list| list.version).collect::<Vec<_>>(), [41, 42], "split at {split}");
-        let host = &lists[1].hosts[0];
+        let host = &lists[1].servers[0];
         assert_eq!((host.group.as_str(), host.size, host.primary), ("3", 1.5, true));
-        assert_eq!((host.started, host.standing), (Some(1_767_225_600_123_000), ServerState::Serving));
+        assert_eq!((host.started, host.state), (Some(1_767_225_600_123_000), ServerState::Serving));
     }
 }
 
@@ -230,7 +230,7 @@
             answer.take(&mut came).expect("it parses");
         }
         let lists = came.lists;
-        assert_eq!((lists.len(), lists[3].hosts[0].size), (4, 1.5), "split at {split}");
+        assert_eq!((lists.len(), lists[3].servers[0].size), (4, 1.5), "split at {split}");
         assert!(answer.text.is_empty());
     }
     for broken in ["{\"seq\":41,\n\"whole\"\n}\n", "nothing\n", "{}\n"] {
--- a/crates/gateway/src/wire/server.rs
+++ b/crates/gateway/src/wire/server.rs
@@ -6,7 +6,7 @@
 
 use calloop::RegistrationToken;
 use tansyjunction::interface::{DispatchEnd, Micros, Report};
-use tansyjunction_hosting::{Reminder, at_millis};
+use tansyjunction_hosting::{Timer, micros_from_millis};
 
 use crate::wire::bytes::{Inbox, Outbox, Reading};
 use crate::wire::frames;
@@ -162,7 +162,7 @@
     pub rested: Micros,
     pub written: Option<Micros>,
     /// When it is given up, or closed if it idles.
-    pub due: Reminder,
+    pub due: Timer,
     /// When its job is given up, which may be later while the connection is being opened.
     pub job_due: Micros,
     pub ended: bool,
@@ -181,7 +181,7 @@
             job: None,
             rested: now,
             written: None,
-            due: Reminder::default(),
+            due: Timer::default(),
             job_due: 0,
             ended: false,
             reopened: false,
@@ -219,7 +219,8 @@
             Some(("recovery", "off")) => self.stated.primary = Some(true),
             Some(("recovery", "on")) => self.stated.primary = Some(false),
             Some(("lsn_ms", value)) => {
-                self.stated.position = value.parse().ok().filter(|ms| (1..FAR).contains(ms)).map(at_millis)
+                self.stated.position =
+                    value.parse().ok().filter(|ms| (1..FAR).contains(ms)).map(micros_from_millis)
             }
             Some(("health", value)) => self.report = report(value).or(self.report),
             _ => {}
--- a/crates/handover/src/hold.rs
+++ b/crates/handover/src/held_writes.rs
@@ -1,4 +1,4 @@
-//! Held writes of a shard: bounded, by time left, with each session's in the order in which they came.
+//! Held writes of a shard, ordered by remaining time, with the writes of each session in order of arrival.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -6,19 +6,20 @@
 
 use crate::interface::Write;
 
+/// Queue of held writes.
 #[derive(Clone, Debug, Default, Hash, PartialEq, Eq)]
-pub(crate) struct Held {
+pub(crate) struct HeldWrites {
     writes: BTreeMap<u64, Write>,
-    /// By the time by which each must be on its way.
+    /// All writes by deadline.
     by_deadline: BTreeSet<(Micros, u64)>,
-    /// Those that may go next: the first of each session, and all without one, by their deadlines.
+    /// Writes that may be released next by deadline: the first of each session, and all without a session.
     ready: BTreeSet<(Micros, u64)>,
     sessions: BTreeMap<usize, VecDeque<u64>>,
     clients: BTreeMap<u64, usize>,
     pub bytes: usize,
 }
 
-impl Held {
+impl HeldWrites {
     pub fn len(&self) -> usize {
         self.writes.len()
     }
@@ -27,25 +28,28 @@
         self.writes.is_empty()
     }
 
-    pub fn has(&self, id: u64) -> bool {
+    /// Whether a write is held.
+    pub fn contains(&self, id: u64) -> bool {
         self.writes.contains_key(&id)
     }
 
-    pub fn of_client(&self, client: u64) -> usize {
+    /// Number of held writes of a client.
+    pub fn count_of_client(&self, client: u64) -> usize {
         self.clients.get(&client).copied().unwrap_or(0)
     }
 
+    /// Whether a write of the session is held.
     pub fn has_session(&self, session: Option<usize>) -> bool {
         session.is_some_and(|session| self.sessions.contains_key(&session))
     }
 
-    /// By when a write must be on its way: the client's time, or the window within which it may be repeated.
+    /// When a write must be released at the latest: by its client timeout or the end of its deduplication window.
     fn deadline(write: &Write, round: Micros) -> Micros {
         let most = write.client_timeout.saturating_sub(round);
         write.repeat_until.map_or(most, |until| most.min(until))
     }
 
-    /// Keeps a write. `first`: it goes before others of its session, since it was there before them.
+    /// Adds a write. With `first` it goes ahead of its session's other writes, since it arrived before them.
     pub fn add(&mut self, write: Write, round: Micros, first: bool) {
         let (id, deadline) = (write.id, Self::deadline(&write, round));
         self.by_deadline.insert((deadline, id));
@@ -74,6 +78,7 @@
         self.writes.insert(id, write);
     }
 
+    /// Removes a write.
     pub fn remove(&mut self, id: u64, round: Micros) -> Option<Write> {
         let write = self.writes.remove(&id)?;
         let deadline = Self::deadline(&write, round);
@@ -102,10 +107,10 @@
         Some(write)
     }
 
-    /// No write may be kept for longer than until then.
-    pub fn hasten(&mut self, until: Micros, round: Micros) {
+    /// Limits all deadlines to `until`.
+    pub fn limit_deadlines(&mut self, until: Micros, round: Micros) {
         let mut before = std::mem::take(self);
-        // Each session's in the order in which they came.
+        // Re-adds each session's writes in order of arrival.
         let mut order: Vec<u64> = before.sessions.values().flatten().copied().collect();
         order.extend(before.writes.values().filter(|write| write.session.is_none()).map(|write| write.id));
         for id in order {
@@ -115,18 +120,19 @@
         }
     }
 
-    /// The write with the least time left that may go, where `free` says that nothing of its session is out.
-    pub fn next(&self, free: impl Fn(&Write) -> bool) -> Option<u64> {
+    /// The write with the earliest deadline that may go, where `free` says that its session has nothing in flight.
+    pub fn next_ready(&self, free: impl Fn(&Write) -> bool) -> Option<u64> {
         let ready = self.ready.iter().filter_map(|(_, id)| self.writes.get(id));
         ready.into_iter().find(|write| free(write)).map(|write| write.id)
     }
 
-    /// A write whose deadline is at or before `by`.
+    /// A write whose deadline is `by` or earlier.
     pub fn overdue(&self, by: Micros) -> Option<&Write> {
         let (deadline, id) = self.by_deadline.first()?;
         if *deadline <= by { self.writes.get(id) } else { None }
     }
 
+    /// The earliest deadline.
     pub fn first_deadline(&self) -> Option<Micros> {
         self.by_deadline.first().map(|(deadline, _)| *deadline)
     }
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,25 +1,25 @@
-//! Changes of primary without drops: which writes are held while a shard has none, which server may not get any, and
-//! how fast what was held is released. No input or output, no clock, no threads.
+//! Holds writes while a shard changes its primary, so that none are dropped: which writes are held, which servers are
+//! fenced off from writes, and how fast held writes are released. A state machine without I/O, clock or threads.
 //!
-//! The host asks through three calls: [`Handover::admit`] (a write is about to go to the router: let it, keep it, or
-//! refuse it), [`Handover::allows`] (the router named a server: may a write go there) and [`Handover::due`] (what is
-//! released or given up now, and how long until the next question). Notices return nothing: what servers
-//! claim, deny, answer, and when they are lost; what the list tells; which writes are out. Operators announce changes
-//! through [`Handover::plan`], [`Handover::abort`], [`Handover::pause`] and [`Handover::resume`].
+//! The host asks three questions: [`Handover::admit`] (whether a write goes to the router, is held or is answered),
+//! [`Handover::may_write_to`] (whether a write may go to the server that the router chose) and [`Handover::due`] (which
+//! held writes are released or abandoned now, and when to ask again). It passes on events: servers that claim or deny
+//! the role of primary, answers, failures, server lists and writes that end. Operators plan changes with
+//! [`Handover::plan_change`], [`Handover::abort_change`], [`Handover::pause`] and [`Handover::resume`].
 //!
-//! The router still chooses the server, decides what is tried again and refuses by room. This module decides only
-//! whether a write is put to the router at all. Its mechanisms:
+//! The router still chooses the server, decides on retries and limits concurrency. This module only decides whether a
+//! write is given to the router. Its mechanisms:
 //!
-//! 1. Phases: what all evidence together says of a shard's primary, newest and strongest first.
-//! 2. Fences: a server that led before, and one of two that claim to lead, gets no write until it is cleared.
-//! 3. Holds: a bounded queue a shard, by time left, with sessions in order.
-//! 4. Scout: while a primary is sought, one write of the shard goes to the router, which searches with it.
-//! 5. Pace: what was held goes out in steps that widen with each answer, jittered over all gateways.
+//! 1. Phases: the state of a shard's primary by all evidence, where newer and stronger evidence wins.
+//! 2. Fencing: an earlier primary, and both of two servers that claim the role, get no writes until that is resolved.
+//! 3. Holding: a bounded queue per shard, ordered by remaining time, with the writes of each session in order.
+//! 4. Trial write: while no primary is known, one write of the shard goes to the router, which searches with it.
+//! 5. Pacing: held writes are released at a rate that rises with each answer, with jitter across gateways.
 
-mod hold;
+mod held_writes;
 mod interface;
-mod pace;
 mod phase;
+mod release_pacer;
 mod shard;
 
 pub use interface::*;
--- a/crates/handover/tests/model.rs
+++ b/crates/handover/tests/model.rs
@@ -1,5 +1,5 @@
-//! A model check: clients, the gateway's own modules (holds and router, the very code that serves), two servers and a
-//! network that loses messages, over all interleavings up to the bound stated in `Checked::bounds`.
+//! Model check of clients, the gateway's own handover and router, two servers and a network that loses messages, over
+//! all interleavings up to the limits in `Checked::bounds`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -7,31 +7,31 @@
 use stateright::{Checker, Model, Property};
 use tansyjunction::Router;
 use tansyjunction::interface::*;
-use tansyjunction_handover::{Admit, Figures, Handover, Phase, Write};
+use tansyjunction_handover::{Admission, Handover, HandoverConfig, Phase, Write};
 
 const START: Micros = 1_000_000_000;
 const TICK: Micros = 250_000;
-/// Clients wait four ticks; a key holds for three.
+/// Clients wait for four ticks; a key is valid for three.
 const TIMEOUT: Micros = 4 * TICK;
 const WINDOW: Micros = 3 * TICK;
 const TICKS: u8 = 6;
-/// A message arrives within the tick that follows it, or never; servers remember keys for the window and that much more.
+/// A message arrives within the next tick or never; servers remember keys for the window and this much longer.
 const REMEMBERED: Micros = WINDOW + TICK;
 const SERVERS: usize = 2;
 
-/// A mistake that the check must find.
+/// A seeded fault that the check must find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Mistake {
     None,
-    /// Writes go where the fence forbids it.
+    /// Fencing is ignored.
     IgnoresFence,
-    /// The gateway takes the window for longer than servers remember keys.
+    /// The gateway's deduplication window is longer than that of the servers.
     LongWindow,
-    /// A mutating write is taken for one that may be repeated.
+    /// A mutating write is treated as repeatable.
     RepeatsMutating,
-    /// What is due for release is dropped.
+    /// Released writes are dropped.
     ForgetsHeld,
-    /// What may have run is told to be harmless to repeat.
+    /// A write that may have executed is reported as harmless to repeat.
     ThrottlesDoubt,
 }
 
@@ -55,9 +55,9 @@
     Lose(Message),
     Kill,
     Elect,
-    /// The old primary is back and takes itself for the primary still.
+    /// The old primary returns and still considers itself primary.
     Return,
-    /// A server tells its role.
+    /// A server reports its role.
     Report(usize),
     Plan,
 }
@@ -65,12 +65,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Default)]
 struct Server {
     down: bool,
-    /// It takes itself for the primary; where it stood when it was replaced.
+    /// Whether it considers itself primary, and its position when it was replaced.
     leads: bool,
     stuck: Option<Micros>,
 }
 
-/// What may still happen.
+/// Remaining numbers of events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Left {
     kills: u8,
@@ -87,16 +87,16 @@
     router: Router,
     handover: Handover,
     held: Vec<PendingCommand>,
-    /// Writes that the router is asked about at the next tick.
+    /// Writes to place again at the next tick.
     asked: BTreeSet<usize>,
     ends: Vec<Vec<End>>,
     servers: [Server; SERVERS],
     leader: usize,
     messages: BTreeSet<Message>,
-    /// Effects of each write, and when the first was.
+    /// Executions of each write, and the time of the first.
     effects: BTreeMap<usize, (u8, Micros)>,
     left: Left,
-    /// A write was sent to a server that was fenced, or while two were taken for primaries.
+    /// Whether a write was sent to a fenced server, or during a conflict of two primaries.
     crossed: bool,
 }
 
@@ -107,7 +107,7 @@
             f,
             "tick {ticks}: {ends:?} {effects:?}, {leader} of {servers:?}, {messages:?}, crossed {crossed}, "
         )?;
-        write!(f, "{:?}, {:?}", self.held, self.handover.status())
+        write!(f, "{:?}, {:?}", self.held, self.handover.all_status())
     }
 }
 
@@ -146,16 +146,16 @@
 
 struct Checked {
     mistake: Mistake,
-    /// The effects of the writes: keyed or mutating.
+    /// Whether each write is keyed (or else mutating).
     keyed: Vec<bool>,
     left: Left,
-    /// Servers are asked for their roles, so that no write has to seek.
+    /// Whether servers are probed for their role, so that no trial write is needed.
     looks: bool,
 }
 
 impl Checked {
-    /// Two servers, a write for each entry of `keyed`, six ticks of 250 ms; so many kills, lost messages, elections, returns
-    /// of an old primary, reports and plans.
+    /// Two servers, a write for each entry of `keyed`, six ticks of 250 ms; numbers of kills, lost messages, elections,
+    /// returns of an old primary, reports and plans.
     fn bounds(
         mistake: Mistake,
         keyed: &[bool],
@@ -193,7 +193,7 @@
         named
     }
 
-    /// Until when a write may be repeated, if it may have run.
+    /// Until when a write may be repeated, if it may have executed.
     fn repeat_until(&self, state: &State, write: usize) -> Option<Micros> {
         let ran = state.held[write].dispatches.iter().find(|d| d.ended.is_none_or(|e| !e.never_ran()))?;
         let window = if self.mistake == Mistake::LongWindow { 2 * TIMEOUT } else { WINDOW };
@@ -201,7 +201,7 @@
         Some(if repeats { ran.sent + window } else { 0 })
     }
 
-    /// The host's way with a write: holds first, then the router, then the fence.
+    /// Handles a write as the host does: handover first, then the router, then the fencing check.
     fn ask(&self, state: &mut State, write: usize) {
         let now = state.now();
         let out = state.held[write].dispatches.iter().any(|d| d.ended.is_none());
@@ -220,13 +220,15 @@
             ..Write::default()
         };
         match state.handover.admit(now, &asked) {
-            Admit::Pass => self.place(state, write),
-            Admit::Hold => {
+            Admission::Pass => self.place(state, write),
+            Admission::Hold => {
                 state.asked.remove(&write);
             }
-            Admit::Throttle { .. } => self.end(state, write, End::Throttled),
-            Admit::Fail if self.mistake == Mistake::ThrottlesDoubt => self.end(state, write, End::Throttled),
-            Admit::Fail => self.end(state, write, End::Failed),
+            Admission::Throttle { .. } => self.end(state, write, End::Throttled),
+            Admission::Fail if self.mistake == Mistake::ThrottlesDoubt => {
+                self.end(state, write, End::Throttled)
+            }
+            Admission::Fail => self.end(state, write, End::Failed),
         }
     }
 
@@ -241,10 +243,12 @@
                 let dispatch = state.held[write].dispatches.len();
                 state.held[write].dispatches.push(Dispatch::written_immediately(server, now));
                 let barred = {
-                    let status = &state.handover.status()[0];
-                    status.fenced.contains(&server) || status.phase == Phase::InDoubt
+                    let status = &state.handover.all_status()[0];
+                    status.fenced.contains(&server) || status.phase == Phase::Conflict
                 };
-                if state.handover.allows(0, server, write as u64) || self.mistake == Mistake::IgnoresFence {
+                if state.handover.may_write_to(0, server, write as u64)
+                    || self.mistake == Mistake::IgnoresFence
+                {
                     state.crossed |= barred;
                     let sent = state.ticks;
                     state.messages.insert(Message::Request { write, dispatch, server, sent });
@@ -266,10 +270,10 @@
         state.ends[write].push(end);
         state.asked.remove(&write);
         let now = state.now();
-        state.handover.ended(now, write as u64);
+        state.handover.on_write_finished(now, write as u64);
     }
 
-    /// A dispatch ended so.
+    /// Ends a dispatch.
     fn outcome(&self, state: &mut State, write: usize, dispatch: usize, ending: DispatchEnd, told: bool) {
         let now = state.now();
         let Some(found) = state.held[write].dispatches.get_mut(dispatch) else { return };
@@ -293,15 +297,15 @@
         state.router.on_outcome(now, &state.held[write], &outcome);
         match ending {
             DispatchEnd::Answered => {
-                state.handover.answered(now, 0, server, write as u64, Some(now));
+                state.handover.on_write_answered(now, 0, server, write as u64, Some(now));
                 if state.ends[write].is_empty() {
                     self.end(state, write, End::Answered);
                 }
                 return;
             }
-            DispatchEnd::Missed => state.handover.denies(now, 0, server, Some(now)),
+            DispatchEnd::Missed => state.handover.on_primary_denial(now, 0, server, Some(now)),
             DispatchEnd::Unconnected | DispatchEnd::Reset | DispatchEnd::TimedOut => {
-                state.handover.lost(now, 0, server)
+                state.handover.on_failure(now, 0, server)
             }
             _ => return,
         }
@@ -310,7 +314,7 @@
         }
     }
 
-    /// A server takes a request: what it answers at once; None: nothing, or it will answer with a message.
+    /// A server handles a request. Returns its immediate answer, or `None` if it answers later or never.
     fn serve(&self, state: &mut State, write: usize, dispatch: usize, server: usize) -> Option<DispatchEnd> {
         let now = state.now();
         let there = state.servers[server];
@@ -321,7 +325,7 @@
             return Some(DispatchEnd::Missed);
         }
         if there.stuck.is_some() {
-            // An old primary that nobody follows: no replica takes its commit, so it never answers.
+            // No replica acknowledges the commit of an old primary, so it never answers.
             return None;
         }
         let keyed = self.keyed[write];
@@ -358,8 +362,8 @@
         let report = Report { primary: Some(there.leads), position: Some(position), ..Report::default() };
         state.router.on_probe_result(now, server, 1_000, DispatchEnd::Answered, Some(report));
         match there.leads {
-            true => state.handover.claims(now, 0, server, Some(position)),
-            false => state.handover.denies(now, 0, server, Some(position)),
+            true => state.handover.on_primary_claim(now, 0, server, Some(position)),
+            false => state.handover.on_primary_denial(now, 0, server, Some(position)),
         }
     }
 }
@@ -381,7 +385,12 @@
         };
         router.update_server_list(START - 2, Some(&[entry(0), entry(1)]), true);
         let look_every = if self.looks { TICK } else { 0 };
-        let figures = Figures { look_every, usual: 2 * TICK, gap: 1_000, ..Figures::default() };
+        let figures = HandoverConfig {
+            probe_interval: look_every,
+            expected_duration: 2 * TICK,
+            release_gap: 1_000,
+            ..HandoverConfig::default()
+        };
         let mut servers = [Server::default(); SERVERS];
         servers[0].leads = true;
         let mut state = State {
@@ -450,7 +459,7 @@
                 let late = |m: &Message| matches!(m, Message::Request { sent, .. } if tick > sent + 1);
                 state.messages.retain(|message| !late(message));
                 let now = state.now();
-                // Dispatches end with the client's time; what is on the way then may still arrive and run.
+                // Dispatches end at the client timeout; messages in transit may still arrive and execute.
                 for write in 0..self.keyed.len() {
                     for dispatch in 0..state.held[write].dispatches.len() {
                         let out = state.held[write].dispatches[dispatch].ended.is_none();
@@ -479,7 +488,7 @@
             Action::Lose(message) => {
                 state.left.losses -= 1;
                 state.messages.remove(&message);
-                // The connection breaks with it.
+                // Its connection breaks.
                 let (Message::Request { write, dispatch, .. } | Message::Answer { write, dispatch, .. }) =
                     message;
                 self.outcome(&mut state, write, dispatch, DispatchEnd::Reset, false);
@@ -496,7 +505,7 @@
                 }
                 (state.leader, state.servers[new].leads) = (new, true);
                 state.servers[new].stuck = None;
-                // One that is there steps down; one that is down does not hear of it.
+                // A running server steps down; one that is down does not notice.
                 if state.servers[old].down {
                     state.servers[old].stuck = Some(state.now());
                 } else {
@@ -514,7 +523,7 @@
             Action::Plan => {
                 state.left.plans -= 1;
                 let now = state.now();
-                state.handover.plan(now, 0, 1 - state.leader).ok()?;
+                state.handover.plan_change(now, 0, 1 - state.leader).ok()?;
             }
         }
         self.settle(&mut state);
@@ -541,13 +550,13 @@
             }),
             Property::always("no write to a fenced primary", |_, state: &State| !state.crossed),
             Property::always("nothing is held in the end", |_, state: &State| {
-                state.ticks < TICKS || state.handover.status().iter().all(|status| status.held == 0)
+                state.ticks < TICKS || state.handover.all_status().iter().all(|status| status.held == 0)
             }),
         ]
     }
 }
 
-/// How many states were looked at, and the properties that some state breaks.
+/// Number of states visited, and the properties that some state violates.
 fn explored(model: Checked) -> (usize, Vec<&'static str>) {
     let checker = model.checker().threads(4).target_state_count(3_000_000).spawn_bfs().join();
     let mut broken: Vec<&'static str> = checker.discoveries().into_keys().collect();
@@ -557,7 +566,7 @@
 
 #[test]
 fn nothing_breaks_in_any_interleaving() {
-    // Keyed or mutating writes; kills, losses, elections, returns, reports, plans.
+    // Keyed or mutating writes; numbers of kills, losses, elections, returns, reports and plans.
     for (keyed, bounds) in [
         (&[true][..], [1, 1, 1, 0, 1, 0]),
         (&[false], [1, 1, 1, 0, 1, 0]),
--- a/crates/handover/tests/release.rs
+++ b/crates/handover/tests/release.rs
@@ -1,20 +1,20 @@
-//! The release at a cold primary: holds and routers of several gateways together, in virtual time, against the budget that
-//! the rule on cold servers sets.
+//! Release of held writes to a cold primary: handovers and routers of several gateways in virtual time, against the
+//! load that the overload rule allows for cold servers.
 
 use std::collections::BTreeMap;
 
 use tansyjunction::Router;
 use tansyjunction::interface::*;
-use tansyjunction_handover::{Admit, Figures, Handover, Write};
+use tansyjunction_handover::{Admission, Handover, HandoverConfig, Write};
 
 const START: Micros = 1_000_000_000;
 const MS: Micros = 1_000;
 const WORK: Micros = 20 * MS;
-/// The rule: so many times its present capacity, which begins at this part of one core, within a window.
+/// The rule: the load within a window may be this many times the current capacity, which starts at this share of a core.
 const MULTIPLE: f64 = 3.0;
 const COLD_FROM: f64 = 0.2;
 const WINDOW: Micros = 2_000 * MS;
-/// It is warm by then, and warms evenly.
+/// Time until it is warm; capacity grows linearly.
 const COLD: Micros = 10_000 * MS;
 
 fn named(gateways: usize) -> SettingsByName {
@@ -46,14 +46,14 @@
     router: Router,
     handover: Handover,
     held: BTreeMap<u64, PendingCommand>,
-    /// Those that are with the router, and when it is asked again.
+    /// Writes being placed by the router, and when it is asked again.
     asked: BTreeMap<u64, Micros>,
-    /// Dispatches that are out, by when they end.
+    /// Dispatches in flight by the time when they end.
     out: BTreeMap<(Micros, u64), ()>,
 }
 
-/// Each gateway holds `each` writes; the new primary has just started. How much work reaches it in the worst window, as
-/// a part of what it bears then, and how many writes are answered, throttled.
+/// Each gateway holds `each` writes and the new primary has just started. Returns the work in the worst window as a
+/// share of the allowed work, and the numbers of writes answered and throttled.
 fn released(gateways: usize, each: u64) -> (f64, usize, usize) {
     let mut all: Vec<Gateway> = (0..gateways)
         .map(|number| {
@@ -72,10 +72,10 @@
                 |primary| Some(Report { primary: Some(primary), position: Some(START), ..Report::default() });
             router.on_probe_result(START, 0, MS, DispatchEnd::Answered, report(false));
             router.on_probe_result(START, 1, MS, DispatchEnd::Answered, report(true));
-            let figures = Figures { gateways: gateways as u64, ..Figures::default() };
+            let figures = HandoverConfig { gateways: gateways as u64, ..HandoverConfig::default() };
             let mut handover = Handover::new(figures, number as u64);
-            handover.claims(START, 0, 0, Some(START));
-            handover.denies(START, 0, 0, Some(START));
+            handover.on_primary_claim(START, 0, 0, Some(START));
+            handover.on_primary_denial(START, 0, 0, Some(START));
             let mut held = BTreeMap::new();
             for id in 0..each {
                 let command =
@@ -88,10 +88,10 @@
                     client_timeout: START + 10_000 * MS,
                     ..Write::default()
                 };
-                assert_eq!(handover.admit(START, &write), Admit::Hold);
+                assert_eq!(handover.admit(START, &write), Admission::Hold);
                 held.insert(id, PendingCommand { command, dispatches: Vec::new() });
             }
-            handover.claims(START, 0, 1, Some(START));
+            handover.on_primary_claim(START, 0, 1, Some(START));
             Gateway { router, handover, held, asked: BTreeMap::new(), out: BTreeMap::new() }
         })
         .collect();
@@ -115,13 +115,13 @@
                     load_report: None,
                 };
                 gateway.router.on_outcome(now, held, &outcome);
-                gateway.handover.answered(now, 0, 1, id, Some(now));
+                gateway.handover.on_write_answered(now, 0, 1, id, Some(now));
                 answered += 1;
             }
             let due = gateway.handover.due(now);
             throttled += due.give_up.len();
             for id in due.release {
-                // To the router it arrives when it is put to it.
+                // For the router, it arrives when it is released.
                 gateway.held.get_mut(&id).expect("it is in hand").command.arrived = now;
                 gateway.asked.insert(id, now);
             }
@@ -132,7 +132,7 @@
                 match gateway.router.place(now, held) {
                     Placement::Dispatch { server, .. } => {
                         assert_eq!(server, 1);
-                        gateway.handover.allows(0, server, id);
+                        gateway.handover.may_write_to(0, server, id);
                         held.dispatches.push(Dispatch::written_immediately(server, now));
                         gateway.asked.remove(&id);
                         gateway.out.insert((now + WORK, id), ());
@@ -144,7 +144,7 @@
                     }
                     Placement::Abandon(_) => {
                         gateway.asked.remove(&id);
-                        gateway.handover.ended(now, id);
+                        gateway.handover.on_write_finished(now, id);
                         throttled += 1;
                     }
                 }
@@ -152,7 +152,7 @@
         }
     }
     let within = |from: Micros| sent.iter().filter(|at| (from..from + WINDOW).contains(*at)).count();
-    // Each window against what the server can do at its end.
+    // Each window is compared with the server's capacity at its end.
     let bears = |from: Micros| {
         let age = ((from + WINDOW - START) as f64 / COLD as f64).min(1.0);
         MULTIPLE * (COLD_FROM + (1.0 - COLD_FROM) * age) * WINDOW as f64
--- a/crates/hosting/src/lib.rs
+++ b/crates/hosting/src/lib.rs
@@ -1,13 +1,13 @@
-//! What every host of a router keeps for it, whatever protocol it speaks. Nothing is decided here.
+//! State that every host of a router keeps on its behalf, whatever protocol it speaks. Makes no decisions.
 
-mod commands;
-mod due;
-mod list;
-mod named;
-mod names;
+mod name_numbers;
+mod pending_commands;
+mod server_list;
+mod settings;
+mod timers;
 
-pub use commands::Commands;
-pub use due::{DueTimes, Reminder};
-pub use list::{Host, List, at_millis};
-pub use named::named;
-pub use names::Names;
+pub use name_numbers::NameNumbers;
+pub use pending_commands::PendingCommands;
+pub use server_list::{ServerEntry, ServerList, micros_from_millis};
+pub use settings::convert_settings;
+pub use timers::{Timer, TimerQueue};
--- a/crates/hosting/src/names.rs
+++ b/crates/hosting/src/name_numbers.rs
@@ -1,17 +1,18 @@
-//! Names given small numbers at the door, which go to others once their names are forgotten.
+//! Maps names to small numbers. The numbers of forgotten names are reused.
 
 use std::collections::HashMap;
 
-/// Numbers names in the order they were first met, with the numbers of forgotten ones first.
+/// Numbers names in the order of their first use; numbers of forgotten names are reused first.
 #[derive(Default)]
-pub struct Names {
+pub struct NameNumbers {
     by_name: HashMap<String, usize>,
     names: Vec<String>,
     free: Vec<usize>,
 }
 
-impl Names {
-    pub fn of(&mut self, name: &str) -> usize {
+impl NameNumbers {
+    /// The number of a name, assigned if it is new.
+    pub fn number_of(&mut self, name: &str) -> usize {
         if let Some(index) = self.by_name.get(name) {
             return *index;
         }
@@ -24,17 +25,19 @@
         index
     }
 
-    /// Gives a name's number to whoever comes next.
+    /// Forgets a name, so that its number can be reused.
     pub fn forget(&mut self, index: usize) {
         if self.by_name.remove(&self.names[index]).is_some() {
             self.free.push(index);
         }
     }
 
+    /// The number of a known name.
     pub fn find(&self, name: &str) -> Option<usize> {
         self.by_name.get(name).copied()
     }
 
+    /// The name with this number. Panics if the number was never assigned.
     pub fn name(&self, index: usize) -> &str {
         &self.names[index]
     }
@@ -42,14 +45,17 @@
 
 #[cfg(test)]
 mod tests {
-    use super::Names;
+    use super::NameNumbers;
 
     #[test]
     fn a_forgotten_names_number_goes_to_the_next() {
-        let mut names = Names::default();
-        assert_eq!(["a", "b", "a", "c"].map(|name| names.of(name)), [0, 1, 0, 2]);
+        let mut names = NameNumbers::default();
+        assert_eq!(["a", "b", "a", "c"].map(|name| names.number_of(name)), [0, 1, 0, 2]);
         names.forget(1);
         names.forget(1);
-        assert_eq!((names.find("b"), names.of("d"), names.of("e"), names.name(1)), (None, 1, 3, "d"));
+        assert_eq!(
+            (names.find("b"), names.number_of("d"), names.number_of("e"), names.name(1)),
+            (None, 1, 3, "d")
+        );
     }
 }
--- a/crates/hosting/src/named.rs
+++ b/crates/hosting/src/settings.rs
@@ -1,10 +1,10 @@
-//! The users' settings under the project's names and in microseconds.
+//! Converts a deployment's settings to the router's names and to microseconds.
 
 use serde_json::Value as Json;
 use tansyjunction::interface::{SettingsByName, Value};
 
-/// Settings that are taken over: where they stand on the wire, their name here, what a number is divided by.
-const TAKEN: [(&str, &str, f64); 22] = [
+/// Settings to convert: path in the deployment's settings, name for the router, and divisor of numbers.
+const SETTINGS: [(&str, &str, f64); 22] = [
     ("balancers", "routers", 1.0),
     ("me", "router", 1.0),
     ("round", "round", 1_000.0),
@@ -29,8 +29,8 @@
     ("guarantees/grace_to_answer", "rules.answer_grace", 1_000.0),
 ];
 
-/// The same for each command group.
-const TAKEN_EACH: [(&str, &str, f64); 7] = [
+/// The same for the settings of each command group.
+const COMMAND_GROUP_SETTINGS: [(&str, &str, f64); 7] = [
     ("aim", "response_target", 1_000.0),
     ("hard_limit", "client_timeout", 1_000.0),
     ("worth", "benefit", 1.0),
@@ -40,8 +40,8 @@
     ("window", "repeat_within", 1_000.0),
 ];
 
-/// The wire's words and the project's; others pass as they are.
-const WORDS: [(&str, &str); 15] = [
+/// Text values of the deployment's settings and their names for the router; other values are unchanged.
+const TEXT_VALUES: [(&str, &str); 15] = [
     ("pure", "replayable"),
     ("token", "keyed"),
     ("side_effect", "mutating"),
@@ -59,11 +59,12 @@
     ("kept", "remembered"),
 ];
 
-pub fn named(conf: &Json) -> SettingsByName {
+/// Converts the settings of a deployment. Missing ones are left out, and the router uses its defaults.
+pub fn convert_settings(conf: &Json) -> SettingsByName {
     let mut named = SettingsByName::new();
-    for (path, name, unit) in TAKEN {
+    for (path, name, unit) in SETTINGS {
         let found = path.split('/').try_fold(conf, |at, part| at.get(part));
-        put(&mut named, name.into(), found, unit);
+        insert_value(&mut named, name.into(), found, unit);
     }
     let zones = conf["localities"].as_array().map_or(&[][..], Vec::as_slice);
     let zone = zones.iter().position(|zone| *zone == conf["my_zone"]);
@@ -71,29 +72,29 @@
     let each = conf["categories"].as_array().map_or(&[][..], Vec::as_slice);
     named.insert("command_groups".into(), Value::Number(each.len() as f64));
     for (k, category) in each.iter().enumerate() {
-        for (key, name, unit) in TAKEN_EACH {
-            put(&mut named, format!("command_group.{k}.{name}"), category.get(key), unit);
+        for (key, name, unit) in COMMAND_GROUP_SETTINGS {
+            insert_value(&mut named, format!("command_group.{k}.{name}"), category.get(key), unit);
         }
         let domain = &conf["domain"];
-        put(&mut named, format!("command_group.{k}.need"), domain["needs_by_class"].get(k), 1.0);
-        put(&mut named, format!("command_group.{k}.bound"), domain["class_bound"].get(k), 1_000.0);
+        insert_value(&mut named, format!("command_group.{k}.need"), domain["needs_by_class"].get(k), 1.0);
+        insert_value(&mut named, format!("command_group.{k}.bound"), domain["class_bound"].get(k), 1_000.0);
     }
     let customers = conf["realms"].as_array().map_or(&[][..], Vec::as_slice);
     named.insert("customers".into(), Value::Number(customers.len() as f64));
     for (place, customer) in customers.iter().enumerate() {
-        // A rate per second of all routers together.
-        put(&mut named, format!("customer.{place}.quota"), customer.get("quota_rps"), 1.0);
+        // Commands per second over all routers.
+        insert_value(&mut named, format!("customer.{place}.quota"), customer.get("quota_rps"), 1.0);
     }
     named
 }
 
-fn put(named: &mut SettingsByName, name: String, found: Option<&Json>, unit: f64) {
+fn insert_value(named: &mut SettingsByName, name: String, found: Option<&Json>, unit: f64) {
     let value = match found {
         Some(Json::Number(number)) => Value::Number(number.as_f64().unwrap_or(0.0) / unit),
         Some(Json::Bool(flag)) => Value::Flag(*flag),
         Some(Json::String(word)) => {
             let ours =
-                WORDS.iter().find(|(theirs, _)| theirs == word).map_or(word.as_str(), |(_, ours)| ours);
+                TEXT_VALUES.iter().find(|(theirs, _)| theirs == word).map_or(word.as_str(), |(_, ours)| ours);
             Value::Text(ours.into())
         }
         _ => return,
@@ -110,7 +111,7 @@
     fn customers_and_their_shares_are_taken_over() {
         let conf = json!({"over_share_worth": 0.1,
             "realms": [{"name": "x", "quota_rps": 261.0, "share": 0.43}, {"name": "y", "quota_rps": 91.5}]});
-        let named = named(&conf);
+        let named = convert_settings(&conf);
         for (name, expected) in [
             ("customers", 2.0),
             ("customer.0.quota", 261.0),
@@ -119,6 +120,6 @@
         ] {
             assert_eq!(named.get(name), Some(&Value::Number(expected)), "{name}");
         }
-        assert_eq!(super::named(&json!({})).get("customers"), Some(&Value::Number(0.0)));
+        assert_eq!(super::convert_settings(&json!({})).get("customers"), Some(&Value::Number(0.0)));
     }
 }
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -1,22 +1,27 @@
-//! The instances of this process, and the batches that reach them.
+//! The router instances of this process, and the event batches sent to them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde_json::{Value as Json, json};
 
-use crate::instance::Instance;
+use crate::instance::RouterInstance;
 use crate::wire::{NANOS, field, number};
 
+/// All router instances by number.
 #[derive(Default)]
 pub struct Host {
-    /// None: it was begun and has stopped.
-    instances: BTreeMap<u64, Option<Instance>>,
-    /// The lists of servers by their number; numbers are used again.
+    /// `None` for an instance that was halted.
+    instances: BTreeMap<u64, Option<RouterInstance>>,
+    /// Server lists by page number; page numbers are reused.
     pages: BTreeMap<u64, Vec<Json>>,
 }
 
 impl Host {
-    /// Takes one line and gives the reply, or says in one message what is wrong with it.
+    /// Handles one batch of events and returns the orders in reply.
+    ///
+    /// # Errors
+    ///
+    /// Returns a message that names the event and the key that is missing or invalid.
     pub fn batch(&mut self, line: &str) -> Result<Json, String> {
         let batch: Json = serde_json::from_str(line).map_err(|error| format!("not JSON: {error}"))?;
         let now = number(&batch, "time")? / NANOS;
@@ -33,7 +38,7 @@
         }
         for i in touched {
             if let Some(Some(instance)) = self.instances.get_mut(&i) {
-                instance.settle(now, &mut orders);
+                instance.run_due(now, &mut orders);
             }
         }
         Ok(json!({ "orders": orders }))
@@ -54,7 +59,7 @@
         }
         let i = number(event, "i")?;
         if name == "begin" {
-            self.instances.insert(i, Some(Instance::begin(i, event)?));
+            self.instances.insert(i, Some(RouterInstance::new(i, event)?));
             touched.insert(i);
             return Ok(());
         }
@@ -65,14 +70,14 @@
             "halt" => *instance = None,
             "members" => {
                 let page = event["page"].as_u64().and_then(|page| self.pages.get(&page));
-                running.members(now, event, page)?;
+                running.on_server_list(now, event, page)?;
             }
-            "arrival" => running.arrival(now, event, orders)?,
-            "dropped" => running.dropped(now, event)?,
-            "pong" => running.pong(now, event)?,
-            "resolved" => running.resolved(now, event, orders)?,
-            // Timers are looked at after the batch; a stream's start, messages of others, of which none is sent on this
-            // wire, and what is new here need no answer.
+            "arrival" => running.on_arrival(now, event, orders)?,
+            "dropped" => running.on_client_gone(now, event)?,
+            "pong" => running.on_probe_result(now, event)?,
+            "resolved" => running.on_dispatch_ended(now, event, orders)?,
+            // Timers are checked after each batch. Stream starts, messages of peers (none are sent here) and unknown
+            // events need no action.
             _ => {}
         }
         Ok(())
--- a/crates/wirehost/src/instance.rs
+++ b/crates/wirehost/src/instance.rs
@@ -1,39 +1,41 @@
-//! One router with what it asks its caller to keep, on the simulator's wire.
+//! One router in the simulator, with the state kept by its host.
 
 use serde_json::{Value as Json, json};
 use tansyjunction::Router;
 use tansyjunction::interface::*;
-use tansyjunction_hosting::{Commands, Names, named};
+use tansyjunction_hosting::{NameNumbers, PendingCommands, convert_settings};
 
 use crate::wire::{NANOS, field, flag, number, row, text, time};
 
-pub struct Instance {
+/// A router instance and its pending commands.
+pub struct RouterInstance {
     number: u64,
     router: Router,
-    servers: Names,
-    groups: Names,
-    sessions: Names,
+    servers: NameNumbers,
+    groups: NameNumbers,
+    sessions: NameNumbers,
     zones: Vec<Json>,
     command_groups: Vec<Json>,
     customers: Vec<Json>,
     fields: Vec<String>,
     zero: Micros,
-    commands: Commands,
-    reminded: Option<Micros>,
+    pending: PendingCommands,
+    next_reminder: Option<Micros>,
 }
 
-impl Instance {
-    pub fn begin(number: u64, event: &Json) -> Result<Self, String> {
+impl RouterInstance {
+    /// Creates an instance from the simulator's first event.
+    pub fn new(number: u64, event: &Json) -> Result<Self, String> {
         let seed = field(event, "random_seed")?.as_u64().ok_or("'random_seed' is not a whole number")?;
         let conf = field(event, "conf")?;
         let list = |part: &Json| part.as_array().cloned().unwrap_or_default();
         let domain = &conf["domain"];
-        Ok(Instance {
+        Ok(RouterInstance {
             number,
-            router: Router::new(named(conf), seed)?,
-            servers: Names::default(),
-            groups: Names::default(),
-            sessions: Names::default(),
+            router: Router::new(convert_settings(conf), seed)?,
+            servers: NameNumbers::default(),
+            groups: NameNumbers::default(),
+            sessions: NameNumbers::default(),
             zones: list(&conf["localities"]),
             command_groups: list(&conf["categories"]).iter().map(|c| c["name"].clone()).collect(),
             customers: list(&conf["realms"]).iter().map(|r| r["name"].clone()).collect(),
@@ -42,38 +44,45 @@
                 .filter_map(|f| f.as_str().map(String::from))
                 .collect(),
             zero: domain["zero"].as_u64().unwrap_or(0) / NANOS,
-            commands: Commands::default(),
-            reminded: None,
+            pending: PendingCommands::default(),
+            next_reminder: None,
         })
     }
 
-    pub fn arrival(&mut self, now: Micros, event: &Json, orders: &mut Vec<Json>) -> Result<(), String> {
+    /// Handles the arrival of a command.
+    pub fn on_arrival(&mut self, now: Micros, event: &Json, orders: &mut Vec<Json>) -> Result<(), String> {
         let corr = number(event, "corr")?;
         let name = field(event, "priority")?;
         let command_group = self.command_groups.iter().position(|known| known == name);
         let command = Command {
             command_group: command_group
                 .ok_or_else(|| format!("'priority' {name} is not in the settings"))?,
-            group: self.groups.of(&number(event, "group_no")?.to_string()),
-            session: event["client_key"].as_str().map(|key| self.sessions.of(key)),
+            group: self.groups.number_of(&number(event, "group_no")?.to_string()),
+            session: event["client_key"].as_str().map(|key| self.sessions.number_of(key)),
             arrived: now,
             client_timeout: time(event, "not_after")?,
             last_write_age: event["wrote_ms_ago"].as_f64().map(|ms| (ms * 1_000.0) as Micros),
             customer: self.customers.iter().position(|known| *known == event["tenant"]),
         };
-        self.commands.take(corr, command);
-        self.ask(now, corr, orders);
+        self.pending.add(corr, command);
+        self.place_command(now, corr, orders);
         Ok(())
     }
 
-    pub fn resolved(&mut self, now: Micros, event: &Json, orders: &mut Vec<Json>) -> Result<(), String> {
+    /// Handles the end of a dispatch.
+    pub fn on_dispatch_ended(
+        &mut self,
+        now: Micros,
+        event: &Json,
+        orders: &mut Vec<Json>,
+    ) -> Result<(), String> {
         let corr = number(event, "corr")?;
         let dispatch = number(event, "go")? as usize;
-        let ending = ending(event)?;
-        let stated = self.stated(event["stand"].as_u64().unwrap_or(0));
-        let report = self.report(&event["health_info"]);
+        let ending = parse_end(event)?;
+        let stated = self.decode_state(event["stand"].as_u64().unwrap_or(0));
+        let report = self.parse_report(&event["health_info"]);
         let took = time(event, "duration")?;
-        match self.commands.dispatches(corr) {
+        match self.pending.dispatch_count(corr) {
             None => return Ok(()),
             Some(sent) if dispatch < sent => {}
             Some(_) => return Err(format!("'go' {dispatch} was never sent for command {corr}")),
@@ -86,43 +95,53 @@
             answer_report: stated,
             load_report: report,
         };
-        match self.commands.ended(&mut self.router, now, corr, outcome) {
-            Some(NextStep::PlaceAgain) => self.ask(now, corr, orders),
-            Some(NextStep::Finished { recall }) => call_off(self.number, corr, &recall, orders),
+        match self.pending.on_dispatch_ended(&mut self.router, now, corr, outcome) {
+            Some(NextStep::PlaceAgain) => self.place_command(now, corr, orders),
+            Some(NextStep::Finished { cancel: recall }) => {
+                cancel_dispatches(self.number, corr, &recall, orders)
+            }
             None => {}
         }
         Ok(())
     }
 
-    pub fn dropped(&mut self, now: Micros, event: &Json) -> Result<(), String> {
+    /// Handles a client that has gone.
+    pub fn on_client_gone(&mut self, now: Micros, event: &Json) -> Result<(), String> {
         let corr = number(event, "corr")?;
-        self.commands.client_gone(&mut self.router, now, corr);
+        self.pending.on_client_gone(&mut self.router, now, corr);
         Ok(())
     }
 
-    pub fn pong(&mut self, now: Micros, event: &Json) -> Result<(), String> {
-        let server = self.servers.of(text(event, "server")?);
-        let report = self.report(&event["health_info"]);
-        self.router.on_probe_result(now, server, time(event, "duration")?, ending(event)?, report);
+    /// Handles the result of a probe.
+    pub fn on_probe_result(&mut self, now: Micros, event: &Json) -> Result<(), String> {
+        let server = self.servers.number_of(text(event, "server")?);
+        let report = self.parse_report(&event["health_info"]);
+        self.router.on_probe_result(now, server, time(event, "duration")?, parse_end(event)?, report);
         Ok(())
     }
 
-    pub fn members(&mut self, now: Micros, event: &Json, page: Option<&Vec<Json>>) -> Result<(), String> {
+    /// Handles a server list, changes to it, or a failed request for it.
+    pub fn on_server_list(
+        &mut self,
+        now: Micros,
+        event: &Json,
+        page: Option<&Vec<Json>>,
+    ) -> Result<(), String> {
         let how = text(event, "how")?;
         if how == "refused" {
             self.router.update_server_list(now, None, false);
             return Ok(());
         }
         let page = page.ok_or("'page' names a list that was never given")?;
-        let entries = page.iter().map(|entry| self.listed(entry)).collect::<Result<Vec<_>, _>>()?;
+        let entries = page.iter().map(|entry| self.parse_entry(entry)).collect::<Result<Vec<_>, _>>()?;
         self.router.update_server_list(now, Some(&entries), how != "changes");
         Ok(())
     }
 
-    fn listed(&mut self, entry: &Json) -> Result<ServerListEntry, String> {
+    fn parse_entry(&mut self, entry: &Json) -> Result<ServerListEntry, String> {
         Ok(ServerListEntry {
-            server: self.servers.of(text(entry, "server")?),
-            group: self.groups.of(&number(entry, "set")?.to_string()),
+            server: self.servers.number_of(text(entry, "server")?),
+            group: self.groups.number_of(&number(entry, "set")?.to_string()),
             zone: self.zones.iter().position(|zone| *zone == entry["site"]).unwrap_or(self.zones.len()),
             size: entry["units"].as_f64().unwrap_or(1.0),
             state: match text(entry, "state")? {
@@ -135,8 +154,8 @@
         })
     }
 
-    /// What an answer states: 4 x position in milliseconds + role.
-    fn stated(&self, stand: u64) -> Report {
+    /// Decodes the state in an answer: 4 x position in ms + role.
+    fn decode_state(&self, stand: u64) -> Report {
         let primary = match stand % 4 {
             1 => Some(true),
             2 => Some(false),
@@ -146,7 +165,7 @@
         Report { position, primary, ..Report::default() }
     }
 
-    fn report(&self, values: &Json) -> Option<Report> {
+    fn parse_report(&self, values: &Json) -> Option<Report> {
         let values = row(values)?;
         let value = |name: &str| {
             let place = self.fields.iter().position(|field| field == name)?;
@@ -160,9 +179,9 @@
         })
     }
 
-    fn ask(&mut self, now: Micros, corr: u64, orders: &mut Vec<Json>) {
+    fn place_command(&mut self, now: Micros, corr: u64, orders: &mut Vec<Json>) {
         let i = self.number;
-        let Some((place, recall)) = self.commands.ask(&mut self.router, now, corr) else { return };
+        let Some((place, recall)) = self.pending.place(&mut self.router, now, corr) else { return };
         match place {
             Placement::Dispatch { server, timeout } => {
                 let name = self.servers.name(server);
@@ -170,18 +189,18 @@
                 orders.push(json!({"forward": {"i": i, "corr": corr, "timeout": timeout, "server": name}}));
             }
             Placement::Hold => {}
-            Placement::Abandon(FinalAnswer::Throttled { come_back }) => {
+            Placement::Abandon(FinalAnswer::Throttled { retry_after: come_back }) => {
                 orders.push(json!({"shed": {"i": i, "corr": corr, "backoff": come_back * NANOS}}));
             }
             Placement::Abandon(FinalAnswer::Failed) => orders.push(json!({"lose": {"i": i, "corr": corr}})),
         }
-        call_off(i, corr, &recall, orders);
+        cancel_dispatches(i, corr, &recall, orders);
     }
 
-    /// After the events of a batch: due questions, then the router's own wait.
-    pub fn settle(&mut self, now: Micros, orders: &mut Vec<Json>) {
-        while let Some(corr) = self.commands.due(now) {
-            self.ask(now, corr, orders);
+    /// Runs the queries that are due after a batch, then the router's periodic check.
+    pub fn run_due(&mut self, now: Micros, orders: &mut Vec<Json>) {
+        while let Some(corr) = self.pending.take_due(now) {
+            self.place_command(now, corr, orders);
         }
         let i = self.number;
         let wait = self.router.next_check(now, None);
@@ -192,24 +211,24 @@
             orders.push(json!({"subscribe": {"i": i, "enable": true}}));
         }
         let own = now + wait.after.max(1);
-        let next = self.commands.next_due().map_or(own, |due| own.min(due));
-        // A timer can't be taken back; one that comes sooner serves as well.
-        if self.reminded.is_none_or(|at| at <= now || next < at) {
+        let next = self.pending.next_due().map_or(own, |due| own.min(due));
+        // A timer cannot be removed; an earlier one serves as well.
+        if self.next_reminder.is_none_or(|at| at <= now || next < at) {
             orders.push(json!({"remind": {"i": i, "in": (next - now) * NANOS, "nonce": 0}}));
-            self.reminded = Some(next);
+            self.next_reminder = Some(next);
         }
     }
 }
 
-/// Stops the wait for these dispatches of a command.
-fn call_off(i: u64, corr: u64, dispatches: &[usize], orders: &mut Vec<Json>) {
+/// Orders these dispatches of a command to be cancelled.
+fn cancel_dispatches(i: u64, corr: u64, dispatches: &[usize], orders: &mut Vec<Json>) {
     for go in dispatches {
         orders.push(json!({"recall": {"i": i, "corr": corr, "go": go}}));
     }
 }
 
-/// How a dispatch or a probe ended.
-fn ending(event: &Json) -> Result<DispatchEnd, String> {
+/// Decodes how a dispatch or a probe ended.
+fn parse_end(event: &Json) -> Result<DispatchEnd, String> {
     Ok(match text(event, "reason")? {
         "ok" => DispatchEnd::Answered,
         "error" => DispatchEnd::Errored,
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts routers on the simulator's wire: batches on standard input, replies on standard output.
+//! Simulator adapter: runs routers on event batches from standard input and writes orders to standard output.
 
 mod host;
 mod instance;
--- a/crates/wirehost/tests/common/mod.rs
+++ b/crates/wirehost/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process that is spoken to batch by batch. Each test program uses its part.
+//! Runs the adapter as a process and exchanges batches with it. Each test program uses a part of it.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -8,10 +8,10 @@
 use serde_json::{Value as Json, json};
 
 pub const MS: u64 = 1_000_000;
-/// The clock of the settings below where the count of positions starts, in milliseconds.
+/// Time in ms at which positions start, as in the settings below.
 pub const ZERO: u64 = 10_000;
 
-/// Settings as the wire gives them, of one command group for each need, with changes by their place.
+/// Settings in the simulator's format, with one command group for each need, changed at the given paths.
 pub fn conf(changed: &[(&str, Json)]) -> Json {
     let group = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "aim": 400 * MS, "hard_limit": 1_500 * MS, "worth": 1.0,
@@ -37,39 +37,39 @@
     conf
 }
 
-/// An entry of the list; its group is 1, its zone the instance's own.
+/// A server list entry in group 1 and the instance's own zone.
 pub fn entry(server: &str, state: &str, leads: bool) -> Json {
     json!({"type": "t", "units": 1, "state": state, "server": server, "leads": u8::from(leads), "site": "a", "set": 1,
         "since": null})
 }
 
-/// What an answer states: its server's position, in milliseconds on the clock, and whether that is the primary.
+/// Encodes the state in an answer: the server's position in ms, and whether it is the primary.
 pub fn stand(position: u64, primary: bool) -> u64 {
     4 * (position - ZERO) + if primary { 1 } else { 2 }
 }
 
-/// Instance 0 in a process of its own.
+/// A process that hosts instance 0.
 pub struct Wire {
     child: Child,
     input: ChildStdin,
     output: BufReader<ChildStdout>,
     conf: Json,
     corr: u64,
-    /// The clock, in milliseconds.
+    /// Current time in ms.
     pub now: u64,
-    /// How long dispatches take until they end, in milliseconds.
+    /// Duration of dispatches in ms.
     pub took: u64,
-    /// What servers answer probes with; others answer without a report.
+    /// Reports that servers answer probes with; others answer without one.
     pub reports: BTreeMap<String, Json>,
-    /// The dispatches of each command so far.
+    /// Dispatches of each command so far.
     dispatches: BTreeMap<u64, u64>,
     probed: Vec<String>,
-    /// Every order since it began.
+    /// All orders since the start.
     pub orders: Vec<Json>,
 }
 
 impl Wire {
-    /// An instance that has just begun with this list and has had its probes answered.
+    /// Starts an instance with this list and answers its probes.
     pub fn begin(conf: Json, list: &[Json]) -> Self {
         let mut child = Command::new(env!("CARGO_BIN_EXE_tansyjunction-wirehost"))
             .stdin(Stdio::piped())
@@ -87,7 +87,7 @@
         wire
     }
 
-    /// Begins, perhaps anew, with the list as it was last known.
+    /// Starts or restarts the instance with the last known list.
     pub fn start(&mut self, list: &[Json]) -> Vec<Json> {
         let begin = json!({"begin": {"i": 0, "random_seed": 9, "conf": self.conf.clone()}});
         let mut events = vec![begin];
@@ -105,7 +105,7 @@
         let reply: Json = serde_json::from_str(&reply).expect("a reply is JSON");
         let orders = reply["orders"].as_array().expect("a reply has orders").clone();
         for order in &orders {
-            // What the settings do not permit ends the day.
+            // An order that the settings do not permit ends the simulation.
             for (name, permit) in [("ask_load", "probes"), ("share", "peers"), ("recall", "cancelling")] {
                 let permitted = self.conf["limits"][permit] == true;
                 assert!(permitted || order.get(name).is_none(), "not permitted: {order}");
@@ -121,7 +121,7 @@
         orders
     }
 
-    /// So many milliseconds go by, at whose end probes are answered and a timer goes off.
+    /// Advances time by this many ms; then probes are answered and a timer expires.
     pub fn pass(&mut self, ms: u64) -> Vec<Json> {
         self.now += ms;
         let mut events: Vec<Json> = std::mem::take(&mut self.probed)
@@ -139,7 +139,7 @@
         self.batch(&members(how, list))
     }
 
-    /// A command comes: its number and the orders.
+    /// A command arrives; returns its number and the orders.
     pub fn arrival(&mut self, class: &str, session: &str) -> (u64, Vec<Json>) {
         self.corr += 1;
         let not_after = (self.now + 1_500) * MS;
@@ -148,13 +148,13 @@
         (self.corr, self.batch(&[event]))
     }
 
-    /// A command comes and is sent at once: its number and the server.
+    /// A command arrives and is dispatched at once; returns its number and the server.
     pub fn sent(&mut self, class: &str, session: &str) -> (u64, String) {
         let (corr, orders) = self.arrival(class, session);
         (corr, forward(&orders).unwrap_or_else(|| panic!("{class} is not sent at once: {orders:?}")))
     }
 
-    /// Its first read has waited for the probes that tell it the way; the next ones need not.
+    /// Sends a first read, which waits for probe results, so that later ones need not wait.
     pub fn warm(&mut self) {
         let (corr, mut orders) = self.arrival("any", "first");
         while forward(&orders).is_none() {
@@ -164,7 +164,7 @@
         self.resolved(corr, &server, "ok", 0);
     }
 
-    /// The last dispatch of a command ends; positions as in [`stand`].
+    /// Ends the last dispatch of a command, with a state from [`stand`].
     pub fn resolved(&mut self, corr: u64, server: &str, reason: &str, stand: u64) -> Vec<Json> {
         let go = self.dispatches[&corr] - 1;
         self.now += self.took;
@@ -188,7 +188,7 @@
 
 impl Drop for Wire {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // It may have exited by itself.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -199,12 +199,12 @@
     vec![page, json!({"members": {"i": 0, "how": how, "seq_no": 1, "page": 0}})]
 }
 
-/// The server of the first dispatch among these orders.
+/// The server of the first dispatch in these orders.
 pub fn forward(orders: &[Json]) -> Option<String> {
     orders.iter().find_map(|order| order["forward"]["server"].as_str().map(String::from))
 }
 
-/// How many of these orders there are.
+/// Number of orders with this name.
 pub fn count(orders: &[Json], name: &str) -> usize {
     orders.iter().filter(|order| order.get(name).is_some()).count()
 }
--- a/crates/wirehost/tests/settings.rs
+++ b/crates/wirehost/tests/settings.rs
@@ -1,4 +1,4 @@
-//! What follows from single settings as the wire gives them.
+//! Effects of single settings in the simulator's format.
 
 mod common;
 
@@ -13,12 +13,12 @@
 
 #[test]
 fn a_time_to_come_back_is_named_only_where_clients_get_one() {
-    // Whether clients get advice, the command group, and the advice in milliseconds.
+    // Whether clients get retry-after advice, the command group, and the advice in milliseconds.
     for (advised, class, expected) in
         [(true, "any", 200), (false, "any", 0), (true, "write", 200), (false, "write", 0)]
     {
         let conf = conf(&[("/limits/retry_after", json!(advised))]);
-        // Nobody serves, so that the command is throttled.
+        // No member serves, so the command is throttled.
         let mut wire = Wire::begin(conf, &[entry("s0", "DRAINING", true)]);
         wire.arrival(class, "x");
         for _ in 0..150 {
@@ -41,7 +41,7 @@
         }
         assert_eq!(count(&wire.orders, "subscribe"), asked, "{mode}: while it holds");
     }
-    // It broke, and two calls fail: asked anew a second after each, well before the list counts as told by its age.
+    // The watch broke and two requests fail: each is retried after a second, well before the list counts as notified.
     let mut wire = Wire::begin(conf(&[("/registry_mode", json!("on_request"))]), &three("s0"));
     wire.list("all", &three("s0"));
     for _ in 0..3 {
@@ -52,26 +52,26 @@
         let orders = [wire.pass(100), wire.pass(100)].concat();
         assert_eq!(count(&orders, "subscribe"), 1, "a second after it failed");
     }
-    // Meanwhile the list as it was known serves, and what drains by it gets nothing.
+    // Meanwhile the last known list is used, and members that drain get nothing.
     let (corr, server) = wire.sent("write", "x");
     assert_eq!(server, "s0");
     wire.resolved(corr, &server, "ok", stand(wire.now, true));
     wire.list("changes", &[entry("s0", "DRAINING", true)]);
     let (_, orders) = wire.arrival("write", "x");
     assert_ne!(forward(&orders).as_deref(), Some("s0"));
-    // A new start knows nothing of the watch of the one before.
+    // A new process has no watch of the previous one.
     wire.batch(&[json!({"halt": {"i": 0}})]);
     assert_eq!(count(&wire.start(&three("s0")), "subscribe"), 1);
 }
 
-/// An instance of many, so that its first commands wait for no probe.
+/// One of many instances, so that its first commands wait for no probe.
 fn one_of_many(changed: &[(&str, Json)], list: &[Json]) -> Wire {
     let mut conf = conf(changed);
     conf["balancers"] = json!(40);
     Wire::begin(conf, list)
 }
 
-/// An instance of three that knows the way to all members.
+/// One of three instances, with probe results of all members.
 fn one_of_few(changed: &[(&str, Json)], list: &[Json]) -> Wire {
     let mut wire = Wire::begin(conf(changed), list);
     wire.warm();
@@ -80,12 +80,12 @@
 
 #[test]
 fn without_reports_nothing_waits_for_them_and_answers_tell_who_is_behind() {
-    // What s1 ends a read of any data with, standing still at a place that soon is too old.
+    // How s1 ends unbounded reads, while its position stands still and soon is too old.
     for ending in ["ok", "error", "miss"] {
         let mut wire = one_of_many(&[], &three("s0"));
         let (corr, server) = wire.sent("write", "x");
         wire.resolved(corr, &server, "ok", stand(wire.now, true));
-        // At once, though no probe has brought a report.
+        // Immediately, though no probe has returned a report.
         let (mut corr, mut server) = wire.sent("any", "x");
         for _ in 0..40 {
             if server == "s1" {
@@ -110,7 +110,7 @@
 #[test]
 fn a_read_that_is_turned_away_untouched_goes_on_and_counts_against_nobody() {
     let list: Vec<Json> = (0..6).map(|n| entry(&format!("s{n}"), "SERVING", n == 0)).collect();
-    // Reads of a bound, and writes that nobody takes, so that all of them are tried up to what the settings allow.
+    // Bounded reads, and writes that no member accepts, so that all are tried up to the limit of the settings.
     let mut wire = one_of_many(&[], &list);
     for _ in 0..10 {
         let (corr, first) = wire.sent("any", "x");
@@ -118,14 +118,14 @@
         let mut server = first;
         for turn in 1..4 {
             let orders = wire.resolved(corr, &server, "miss", stand(wire.now - 10, server == "s0"));
-            // Three members that fail end a read; three that turn it away do not.
+            // Three failed attempts end a read; three rejections do not.
             server = forward(&orders).unwrap_or_else(|| panic!("not sent on after {turn}: {orders:?}"));
             assert!(servers.insert(server.clone()), "sent to {server} again");
         }
         wire.resolved(corr, &server, "ok", stand(wire.now, server == "s0"));
         wire.pass(10);
     }
-    // Some forty were turned away, and every replica still gets reads.
+    // Some forty were rejected, and every replica still gets reads.
     let mut seen = BTreeSet::new();
     for _ in 0..60 {
         let (corr, server) = wire.sent("any", "x");
@@ -142,7 +142,7 @@
         let changed =
             [("/domain/role_listed", json!("silent")), ("/limits/second_copies", json!(second_copies))];
         let mut wire = one_of_many(&changed, &three(""));
-        // Which one leads is told by its answers alone.
+        // The primary is known only from answers.
         let (corr, mut server) = wire.sent("write", "x");
         let mut tried = BTreeSet::new();
         while server != "s2" {
@@ -157,7 +157,7 @@
             assert_eq!(server, "s2", "{class}: its answer told that it leads");
             wire.resolved(corr, "s2", "ok", stand(wire.now, true));
         }
-        // Lists that show nobody, and entries that change, take nothing away.
+        // Empty lists and changed entries do not take members out.
         wire.list("all", &three(""));
         wire.list("changes", &[entry("s2", "SERVING", false)]);
         assert_eq!(wire.sent("write", "x").1, "s2");
@@ -180,7 +180,7 @@
     }
     assert_eq!(server, "s1");
     wire.resolved(corr, "s1", "ok", stand(wire.now, true));
-    // Whatever the list says again, and for however long no answer comes: it tells of the day's start.
+    // The repeated list entry, and the time without an answer, do not matter: it shows the state at the start.
     let lists = [
         ("all", three("s0")),
         ("changes", vec![entry("s0", "SERVING", true)]),
@@ -200,8 +200,8 @@
 
 #[test]
 fn remembered_writes_bind_the_reads_of_their_session_that_went_through_here() {
-    // Whether clients bring along what they wrote, who wrote, whether the instance died since, and whether s1, which
-    // stands short of that write, is barred for a read of session x. Servers do not check, so a wrong read is stale.
+    // Whether clients send their last write along, which session wrote, whether the instance was restarted since, and
+    // whether s1, which is behind that write, is excluded for a read of session x. Servers do not check freshness here.
     for (marks, writer, died, barred) in [
         ("kept", "x", false, true),
         ("kept", "y", false, false),
@@ -231,7 +231,7 @@
 
 #[test]
 fn an_earlier_write_that_is_told_later_takes_nothing_back() {
-    // Guards against a copy's answer, which tells an earlier commit after that of the session's next write.
+    // A hedged write's answer reports an earlier commit after that of the session's next write.
     let changed = [("/domain/guards", json!("silent")), ("/domain/write_marks", json!("kept"))];
     let mut wire = one_of_few(&changed, &three("s0"));
     let begun = wire.now;
@@ -239,7 +239,7 @@
     wire.now += 40;
     let (second, _) = wire.sent("write", "x");
     wire.resolved(second, "s0", "ok", stand(begun + 50, true));
-    // A replica tells that it has applied the first alone.
+    // A replica reports that it has applied only the first.
     let (corr, server) = wire.sent("any", "y");
     wire.resolved(corr, &server, "ok", stand(begun + 30, server == "s0"));
     wire.resolved(first, "s0", "ok", stand(begun + 20, true));
@@ -252,7 +252,7 @@
 
 #[test]
 fn what_a_cold_server_gets_follows_the_multiple_of_its_rule() {
-    // Of so many instances, each just begun and with one read, those that send it to s1, which is cold.
+    // Number of new instances with one read each, and how many send it to s1, which is cold.
     let sent = |multiple: f64| {
         let list =
             [entry("s0", "SERVING", true), entry("s1", "SERVING", false), entry("s2", "SERVING", false)];
@@ -274,13 +274,13 @@
     };
     let (two, four) = (sent(2.0), sent(4.0));
     assert!(two > 10, "it must warm: {two} of 320");
-    // Twice the multiple, twice the part; the lots' chance on both sides.
+    // Twice the multiple gives twice the share, within random variation.
     assert!(four as f64 > 1.5 * two as f64 && (four as f64) < 2.6 * two as f64, "{two}, {four}");
 }
 
 #[test]
 fn where_only_draining_binds_being_gone_or_left_out_does_not() {
-    // Whether gone is advice, what the list says of s1 one after the other (empty: a whole list without it), and whether
+    // Whether removal is advisory, the successive states of s1 in the list (empty: a whole list without it), and whether
     // reads still go there.
     for (advice, told, sent) in [
         (Some(true), &["DELETED"][..], true),
@@ -317,7 +317,7 @@
     for (allowed, class) in [(true, "any"), (false, "any"), (true, "write"), (false, "write")] {
         let mut wire = one_of_few(&[("/limits/second_copies", json!(allowed))], &three("s0"));
         wire.pass(10);
-        // One is lost; later ones are answered there.
+        // One answer is lost; later ones arrive.
         let (lost, at) = wire.sent(class, "x");
         let again = |orders: &[Json]| orders.iter().filter(|o| o["forward"]["corr"] == lost).count();
         let mut orders = Vec::new();
@@ -345,7 +345,7 @@
 
 #[test]
 fn messages_of_others_are_neither_needed_nor_harmful() {
-    // With and without leave for them, the same commands go to the same servers; none is sent.
+    // With and without permission for hedges, the same commands go to the same servers; no hedge is sent.
     let run = |peers: bool| {
         let mut wire = one_of_many(&[("/limits/peers", json!(peers))], &three("s0"));
         for n in 0..20 {
@@ -367,10 +367,10 @@
 
 #[test]
 fn a_late_report_of_a_former_primary_does_not_unsay_what_answers_told() {
-    // Guards against load reports that come seconds late: a primary stands at the present, so where it stood tells
-    // when it led. Whether servers check reads (where they don't, a fresh read at a replica is stale), how old a
-    // report of s0 is in milliseconds, and whether it is then taken as the primary again; it turned a write away a
-    // second ago, which another member took.
+    // Load reports may arrive seconds late. A primary's position is its current time, so it tells when it was primary.
+    // Cases: whether servers check reads (where not, a fresh read at a replica is stale), the age of a report of s0 in
+    // milliseconds, and whether s0 is then considered primary again. It rejected a write a second ago, which another
+    // member accepted.
     for (guards, age, leads) in [
         ("bounce", 4_000, false),
         ("silent", 4_000, false),
--- a/crates/wirehost/tests/transcripts.rs
+++ b/crates/wirehost/tests/transcripts.rs
@@ -1,4 +1,4 @@
-//! Short transcripts through the built adapter.
+//! Short exchanges with the adapter's executable.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -20,7 +20,7 @@
         .expect("the adapter starts");
     let mut input = child.stdin.take().expect("its input is piped");
     for line in lines {
-        // It may have stopped at an earlier line.
+        // It may have exited at an earlier line.
         let _ = writeln!(input, "{}", line.replace('\n', ""));
     }
     drop(input);
@@ -40,7 +40,7 @@
     let halt = r#"{"halt":{"i":0}}"#;
     let empty_list =
         r#"{"page":{"page":0,"elements":[]}},{"members":{"i":0,"how":"all","seq_no":2,"page":0}}"#;
-    // A batch, and what its reply must or must not hold.
+    // A batch, and texts that its reply must or must not contain.
     for (what, events, expected, times) in [
         ("an empty batch", vec![], "forward", 0),
         ("a command", vec![BEGIN, LIST, ARRIVAL], forward, 1),
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -682,7 +682,7 @@
         let advice = (command_group.response_target as f64 * RETRY_AFTER_SHARE)
             .min(self.number("limits.max_come_back", 0.0));
         let come_back = if self.flag("limits.come_back", false) { advice as Micros } else { 0 };
-        Placement::Abandon(FinalAnswer::Throttled { come_back })
+        Placement::Abandon(FinalAnswer::Throttled { retry_after: come_back })
     }
 
     /// Records a dispatch and returns it as the placement.
@@ -1130,7 +1130,7 @@
         }
         let out = pending.dispatches.iter().enumerate().filter(|(_, d)| d.ended.is_none()).map(|(n, _)| n);
         NextStep::Finished {
-            recall: if self.flag("limits.recalls", false) { out.collect() } else { Vec::new() },
+            cancel: if self.flag("limits.recalls", false) { out.collect() } else { Vec::new() },
         }
     }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -166,7 +166,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
     /// A retry is harmless, at best after this many µs (0: no advice).
-    Throttled { come_back: Micros },
+    Throttled { retry_after: Micros },
     /// The command may or may not have taken effect.
     Failed,
 }
@@ -177,7 +177,7 @@
     /// Ask for another placement of the command.
     PlaceAgain,
     /// The command is finished: cancel these dispatches of it.
-    Finished { recall: Vec<usize> },
+    Finished { cancel: Vec<usize> },
 }
 
 /// Replaces a [`Router`](crate::Router)'s random draws with prescribed values and records the draws made. Used by
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -430,7 +430,7 @@
                 let entry = self.entries.remove(&id).expect("it is in hand");
                 let reads = !matches!(entry.held.command.command_group, 4 | 5);
                 match last {
-                    FinalAnswer::Throttled { come_back } => self.again(&entry, come_back),
+                    FinalAnswer::Throttled { retry_after: come_back } => self.again(&entry, come_back),
                     FinalAnswer::Failed if reads => self.again(&entry, 0),
                     FinalAnswer::Failed => {}
                 }
@@ -532,7 +532,7 @@
         }
         match after {
             NextStep::PlaceAgain => self.ask(id),
-            NextStep::Finished { recall } => {
+            NextStep::Finished { cancel: recall } => {
                 for dispatch in recall {
                     self.end(id, dispatch, DispatchEnd::Recalled);
                 }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -167,7 +167,7 @@
 #[test]
 fn what_may_have_run_is_dispatched_or_throttled_only_where_that_is_harmless() {
     let keyed = |scope: &str| vec![("command_group.5.scope", Value::Text(scope.into()))];
-    let throttled = Placement::Abandon(FinalAnswer::Throttled { come_back: 0 });
+    let throttled = Placement::Abandon(FinalAnswer::Throttled { retry_after: 0 });
     let failed = Placement::Abandon(FinalAnswer::Failed);
     // Command group, settings, end of the only dispatch, time since then, and the final answer (`None`: a retry).
     for (command_group, named, ending, after, expected) in [
@@ -317,7 +317,7 @@
         store.sent(&mut held);
         store.end(&mut held, DispatchEnd::Errored, MS);
     }
-    assert_eq!(store.place(&held), Placement::Abandon(FinalAnswer::Throttled { come_back: 0 }));
+    assert_eq!(store.place(&held), Placement::Abandon(FinalAnswer::Throttled { retry_after: 0 }));
 }
 
 #[test]
@@ -1068,7 +1068,7 @@
                 matches!(place, Placement::Dispatch { server: s, .. } if s == server),
                 "{queues:?}: {place:?}, asked {asked:?}"
             ),
-            None => assert_eq!(place, Placement::Abandon(FinalAnswer::Throttled { come_back: 0 })),
+            None => assert_eq!(place, Placement::Abandon(FinalAnswer::Throttled { retry_after: 0 })),
         }
         assert!(!asked.is_empty());
     }
