--- a/crates/accord/src/meet.rs
+++ b/crates/accord/src/meet.rs
@@ -1,5 +1,5 @@
-//! Values that can be tightened. Each kind says one thing alone: what of two values binds where both may be in force. All
-//! else follows: what binds is one of the two, then the other is looser; or neither, then they are contrary.
+//! Values that can be tightened. Each kind says one thing alone: what of two values binds where both may be in force.
+//! All else follows: what binds is one of the two, then the other is looser; or neither, then they are contrary.
 
 /// How a value changes from one version to the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/accord/src/rules.rs
+++ b/crates/accord/src/rules.rs
@@ -40,7 +40,8 @@
     pub meanwhile: String,
 }
 
-/// A struct whose fields each have their kind and rule. Both [`Meet`] and the list of differences go through all of them.
+/// A struct whose fields each have their kind and rule. Both [`Meet`] and the list of differences go through all of
+/// them.
 macro_rules! terms {
     ($(#[$doc:meta])* $name:ident { $($(#[$field_doc:meta])* $field:ident: $kind:ty => $rule:ident,)* }) => {
         $(#[$doc])*
@@ -374,7 +375,8 @@
 }
 
 /// What holds while some act on the one version and some may act on the other: the tightest of both in every field. A
-/// command group or server that one of them lacks takes no commands; a shard of whose primary they differ takes no writes.
+/// command group or server that one of them lacks takes no commands; a shard of whose primary they differ takes no
+/// writes.
 pub fn meanwhile(old: &Rules, new: &Rules) -> Rules {
     // Every field is named, so that none that is added later can be forgotten here.
     let Rules { groups, limits, guarantees, reads, zones, hosts, primaries, others } = old;
--- a/crates/cli/src/accord.rs
+++ b/crates/cli/src/accord.rs
@@ -17,8 +17,9 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Say field by field how a configuration differs from another: what binds wherever it is heard, and what may bind only
-    /// once all gateways have agreed. Exit 0: nothing needs agreement; 1: something does; 2: a file can't be read.
+    /// Say field by field how a configuration differs from another: what binds wherever it is heard, and what may
+    /// bind only once all gateways have agreed. Exit 0: nothing needs agreement; 1: something does; 2: a file can't
+    /// be read.
     Diff {
         old: PathBuf,
         new: PathBuf,
--- a/crates/cli/src/account.rs
+++ b/crates/cli/src/account.rs
@@ -1,5 +1,6 @@
-//! `tansyjunction account`: from the logs of all gateways, with each step of each command, what became of the commands and
-//! why those that were not answered in time were not. Single commands can be followed through every gateway by their id.
+//! `tansyjunction account`: from the logs of all gateways, with each step of each command, what became of the
+//! commands and why those that were not answered in time were not. Single commands can be followed through every
+//! gateway by their id.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -13,7 +14,8 @@
 
 #[derive(Args)]
 pub struct Line {
-    /// Logs of gateways, or folders of them, written with `format = json`, `level.commands = debug`, `lines_a_second = 0`.
+    /// Logs of gateways, or folders of them, written with `format = json`, `level.commands = debug`, `lines_a_second
+    /// = 0`.
     #[arg(required = true)]
     logs: Vec<PathBuf>,
     /// Show every step of this command, by the id that its client gave it.
--- a/crates/cli/src/council.rs
+++ b/crates/cli/src/council.rs
@@ -1,5 +1,5 @@
-//! `tansyjunction council`: what gateways agree on, who holds which duty, and planned changes of primary that one of them
-//! conducts.
+//! `tansyjunction council`: what gateways agree on, who holds which duty, and planned changes of primary that one of
+//! them conducts.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -29,13 +29,13 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Make the store of the first seat, once, before any gateway starts. The other seats begin with an empty folder and are
-    /// seated by those that are there.
+    /// Make the store of the first seat, once, before any gateway starts. The other seats begin with an empty folder
+    /// and are seated by those that are there.
     Found {
         #[command(flatten)]
         source: Source,
-        /// Found anew, with what this gateway's store holds: for a council that has lost most of its stores for good. What
-        /// only the lost ones held is lost.
+        /// Found anew, with what this gateway's store holds: for a council that has lost most of its stores for good.
+        /// What only the lost ones held is lost.
         #[arg(long)]
         again: bool,
     },
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,4 +1,5 @@
-//! `tansyjunction demo`: a store, two gateways and clients on loopback in one go, with changes of primary as they happen.
+//! `tansyjunction demo`: a store, two gateways and clients on loopback in one go, with changes of primary as they
+//! happen.
 
 use std::io::IsTerminal;
 use std::net::{SocketAddr, TcpListener};
--- a/crates/cli/tests/changes.rs
+++ b/crates/cli/tests/changes.rs
@@ -333,8 +333,9 @@
     assert!(answered * 100 >= asked.len() * 90, "{told:?}: {}", rig.gateways[0].log());
 }
 
-/// A payment that is in a primary which hangs, and which is replaced so long after. The window of 2 s is the promise: what
-/// is late within it, for the machine's sake, is played again, and what is replaced beyond it is so by the machine's clock.
+/// A payment that is in a primary which hangs, and which is replaced so long after. The window of 2 s is the promise:
+/// what is late within it, for the machine's sake, is played again, and what is replaced beyond it is so by the
+/// machine's clock.
 #[test]
 fn in_doubt_a_payment_goes_on_within_its_window_and_fails_beyond_it() {
     const TRIES: usize = 5;
@@ -421,7 +422,8 @@
         client.ask(&read(id));
         gateway.say(json!({"do": "plan", "shard": "0", "to": "s1"}))["ok"] == true
     });
-    // Writes are answered while the plan waits: those that waited for its end would find it steady again, or be throttled.
+    // Writes are answered while the plan waits: those that waited for its end would find it steady again, or be
+    // throttled.
     for round in 0..10 {
         assert!(matches!(client.ask(&payment(&format!("m{round}"), 0)), Reply::Value(_)));
         let waits = gateway.shard(0)["phase"] == "announced";
--- a/crates/cli/tests/discovering.rs
+++ b/crates/cli/tests/discovering.rs
@@ -1,5 +1,5 @@
-//! What discovery has is known in time, whatever call on it failed before: the program on sockets beside a discovery that
-//! is slow, breaks off, spoils its lists or can't be reached. Traffic goes on meanwhile.
+//! What discovery has is known in time, whatever call on it failed before: the program on sockets beside a discovery
+//! that is slow, breaks off, spoils its lists or can't be reached. Traffic goes on meanwhile.
 
 #[path = "rig/agent.rs"]
 mod agent;
@@ -28,8 +28,8 @@
     TcpListener::bind("127.0.0.3:0").and_then(|l| l.local_addr()).expect("a free port")
 }
 
-/// All that is said is spoilt for a while, on the open watch too; then new calls are answered well. Calls of before stay as
-/// they were: what began to drip drips on.
+/// All that is said is spoilt for a while, on the open watch too; then new calls are answered well. Calls of before
+/// stay as they were: what began to drip drips on.
 fn known_once_it_is_well(spoils: Spoils, lasts: Duration, bound: Duration) {
     let rig = Rig::new();
     let agent = rig.agent();
@@ -368,7 +368,8 @@
     assert!(rig.replica.asked().is_empty(), "sent by a list that was not there");
 }
 
-/// Restarted processes are ready in time beside a discovery that is late, silent or refuses at first, or tells a wrong list.
+/// Restarted processes are ready in time beside a discovery that is late, silent or refuses at first, or tells a
+/// wrong list.
 #[test]
 fn restarted_processes_are_ready_in_time() {
     type Starts = fn(&Rig) -> Agent;
--- a/crates/cli/tests/duties.rs
+++ b/crates/cli/tests/duties.rs
@@ -1,5 +1,5 @@
-//! Several processes of the program with faults between them: what agreed documents and duties promise. The verdicts are the
-//! rig's, from the logs of all and the store's record; each test adds what its own failure must lead to.
+//! Several processes of the program with faults between them: what agreed documents and duties promise. The verdicts
+//! are the rig's, from the logs of all and the store's record; each test adds what its own failure must lead to.
 
 use std::path::Path;
 use std::time::Duration;
@@ -59,8 +59,8 @@
     played.history.lines.iter().filter(move |line| line.by == by && line.what == what && line.duty == DUTY)
 }
 
-/// Has this seat lead the council: whoever else leads stands still until the others have elected one. Chance decides which of
-/// the two it is, so that it takes as many rounds as it takes.
+/// Has this seat lead the council: whoever else leads stands still until the others have elected one. Chance decides
+/// which of the two it is, so that it takes as many rounds as it takes.
 fn have_lead(ground: &Ground, seat: usize) -> Result<(), String> {
     for _ in 0..40 {
         let leader = ground.until("one leads", Ground::leader)?;
@@ -75,8 +75,8 @@
     Err(format!("n{seat} is never elected"))
 }
 
-/// The holder, which leads the council as well, in the middle of its statement, is cut off by `cut`. Another holds the duty
-/// and does it; the old statement is let go then, and must find itself overtaken.
+/// The holder, which leads the council as well, in the middle of its statement, is cut off by `cut`. Another holds
+/// the duty and does it; the old statement is let go then, and must find itself overtaken.
 fn cut_off(cut: impl Fn(&mut Ground, usize)) -> Played {
     play(&plan(Council::default()), |ground| {
         have_lead(ground, 0)?;
@@ -124,8 +124,8 @@
     });
 }
 
-/// The holder stands still in the middle of its statement, which the store keeps; once the next one has done it, and after so
-/// long at least, the statement goes on and the holder wakes.
+/// The holder stands still in the middle of its statement, which the store keeps; once the next one has done it, and
+/// after so long at least, the statement goes on and the holder wakes.
 fn paused_in_the_middle(for_so_long: Duration) -> Played {
     let mut old = (0, 0);
     let played = play(&plan(Council::default()), |ground| {
@@ -183,8 +183,8 @@
     assert!(said(&played, old.0, "revoked").any(|line| line.epoch == old.1));
 }
 
-/// Each datagram from and to the holder takes up to 50 times as long as a beat's round trip, and its process runs a tenth of
-/// the time.
+/// Each datagram from and to the holder takes up to 50 times as long as a beat's round trip, and its process runs a
+/// tenth of the time.
 #[test]
 fn a_holder_that_is_slow_in_all_makes_the_change_or_loses_it() {
     play(&plan(Council::default()), |ground| {
@@ -207,8 +207,8 @@
     });
 }
 
-/// Two of three seats die; nothing is decided and nobody acts, also when the lease is over. One comes back with a disk of
-/// before, which must not count; with the other's own disk it goes on.
+/// Two of three seats die; nothing is decided and nobody acts, also when the lease is over. One comes back with a
+/// disk of before, which must not count; with the other's own disk it goes on.
 #[test]
 fn one_seat_of_three_and_an_old_disk_decide_nothing_and_lose_nothing() {
     play(&plan(Council::default()), |ground| {
@@ -233,7 +233,8 @@
         })?;
         ground.old_disk(1)?;
         ground.start_all(&[1])?;
-        // Given up after two leases, in which the two seats hear each other: time enough to decide, and to grant, if they could.
+        // Given up after two leases, in which the two seats hear each other: time enough to decide, and to grant, if
+        // they could.
         let aided = ground.propose(0, "limits", 4, &json!("one of three and an old disk"));
         let holds = ground.holder(DUTY);
         if alone.is_ok() || aided.is_ok() || holds != held {
@@ -281,8 +282,8 @@
     restarted(&[0, 1, 2, 3, 4]);
 }
 
-/// Guards against a verdict on a gateway that is a beat behind: the seats have decided, and who has no seat hears of it when it
-/// asks next.
+/// Guards against a verdict on a gateway that is a beat behind: the seats have decided, and who has no seat hears of
+/// it when it asks next.
 #[test]
 fn what_is_agreed_in_the_last_moment_is_not_lost_to_those_that_hear_of_it_later() {
     play(&plan(Council::default()), |ground| {
@@ -292,8 +293,8 @@
     });
 }
 
-/// All is lost, processes and disks, and another council is founded: what was acknowledged never comes again, and the verdict
-/// is that, after the rig has waited as long as it waits.
+/// All is lost, processes and disks, and another council is founded: what was acknowledged never comes again, and the
+/// verdict is that, after the rig has waited as long as it waits.
 #[test]
 fn what_is_lost_for_good_is_told_as_lost_by_each() {
     let plan = plan(Council::default());
@@ -352,8 +353,8 @@
     });
 }
 
-/// The holder is told to stop while it waits for a gateway that stands still: it names the next one before it leaves. The
-/// lease is twice what the rig waits for anything: whoever holds it next has not waited for that.
+/// The holder is told to stop while it waits for a gateway that stands still: it names the next one before it leaves.
+/// The lease is twice what the rig waits for anything: whoever holds it next has not waited for that.
 #[test]
 fn a_holder_that_is_told_to_stop_hands_the_duty_on_without_waiting_for_its_lease() {
     let council = Council { lease_ms: 60_000, stall_ms: 120_000, ..Council::default() };
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -1,12 +1,13 @@
-//! Several processes of the program with faults between them: what gateways that know each other promise. The verdicts are
-//! the rig's; each test adds what its own failure must not lead to.
+//! Several processes of the program with faults between them: what gateways that know each other promise. The
+//! verdicts are the rig's; each test adds what its own failure must not lead to.
 
 use std::path::Path;
 
 use tansyjunction_rig::judge::Told;
 use tansyjunction_rig::{Fault, Outcome, Plan, Sight, What, run, run_when};
 
-/// Plays faults, each of which begins and ends as soon as the machine has come to what is `ready`, and no sooner than planned.
+/// Plays faults, each of which begins and ends as soon as the machine has come to what is `ready`, and no sooner than
+/// planned.
 fn play_when(faults: Vec<Fault>, ready: impl Fn(&Sight) -> bool) -> Outcome {
     let plan = Plan { faults, ..Plan::default() };
     let program = Path::new(env!("CARGO_BIN_EXE_tansyjunction"));
--- a/crates/cli/tests/leaving.rs
+++ b/crates/cli/tests/leaving.rs
@@ -71,8 +71,8 @@
     rest
 }
 
-/// Guards against attempts for a client whose end lies behind what it had sent ahead: for one that waits for a connection
-/// that is still coming up, one that waits behind an attempt that is out, and one that was sent back.
+/// Guards against attempts for a client whose end lies behind what it had sent ahead: for one that waits for a
+/// connection that is still coming up, one that waits behind an attempt that is out, and one that was sent back.
 #[test]
 fn nothing_is_sent_for_a_client_that_left_behind_what_it_sent_ahead() {
     for goes in [Goes::Mute, Goes::Reads, Goes::Throttles] {
@@ -109,9 +109,9 @@
     }
 }
 
-/// Guards against a statement that is written for a client that left while the process stood still: the server's welcome
-/// came first, and the client's end is read after it. One client or a burst of them, with and without bytes sent ahead; one
-/// that stays is served.
+/// Guards against a statement that is written for a client that left while the process stood still: the server's
+/// welcome came first, and the client's end is read after it. One client or a burst of them, with and without bytes
+/// sent ahead; one that stays is served.
 #[test]
 fn a_client_is_looked_for_when_its_statement_is_about_to_be_written() {
     for (count, bytes) in [(1, 0), (1, 40_000), (150, 0), (60, 9_000)] {
@@ -241,8 +241,8 @@
     sent.is_ok() && stream.take_error().is_ok_and(|error| error.is_none())
 }
 
-/// Guards against a close that resets its connection under a command that crosses it, and so may overtake the last answer;
-/// and against that command being sent on: its client sends it again.
+/// Guards against a close that resets its connection under a command that crosses it, and so may overtake the last
+/// answer; and against that command being sent on: its client sends it again.
 #[test]
 fn a_command_that_crosses_the_end_of_a_resting_connection_meets_no_reset() {
     let (primary, replica, gateway) = rig(Goes::Answers, 64);
@@ -258,8 +258,8 @@
     assert!(!ids([&primary, &replica]).contains(&"77".to_string()));
 }
 
-/// Guards against the close of a connection on which a command, or a startup with one behind, lies unread: descriptors run
-/// out in the very moment in which it comes, while the process stands still.
+/// Guards against the close of a connection on which a command, or a startup with one behind, lies unread:
+/// descriptors run out in the very moment in which it comes, while the process stands still.
 #[test]
 fn what_lies_unread_when_descriptors_run_out_is_answered() {
     for silent in [false, true] {
--- a/crates/cli/tests/logging.rs
+++ b/crates/cli/tests/logging.rs
@@ -7,8 +7,8 @@
 const CONFIG: &str = r#"{"name":"n0","listen":"LISTEN","discovery":"127.0.0.2:9","settings":{"my_zone":"a",
     "localities":["a"],"categories":[{"name":"look","aim":400000000,"hard_limit":1500000000,"effect":"pure"}]}}"#;
 
-/// Starts the program, has it serve until it has logged `line` or, without one, for a moment; stops it, and gives what it
-/// logged.
+/// Starts the program, has it serve until it has logged `line` or, without one, for a moment; stops it, and gives
+/// what it logged.
 fn logged(settings: &str, line: Option<&str>) -> String {
     let folder = tempfile::tempdir().expect("a folder");
     let listen = TcpListener::bind("127.0.0.3:0").and_then(|l| l.local_addr()).expect("a free port");
--- a/crates/cli/tests/pipelining.rs
+++ b/crates/cli/tests/pipelining.rs
@@ -12,8 +12,8 @@
     statements.iter().flat_map(|s| message(b'Q', format!("{s}\0").as_bytes())).collect()
 }
 
-/// Sends two requests at once, the second with a deadline of 1.5 s; the first is answered late. Tells what the second was
-/// answered, and how long after it was sent.
+/// Sends two requests at once, the second with a deadline of 1.5 s; the first is answered late. Tells what the second
+/// was answered, and how long after it was sent.
 fn second_behind_a_late_first(first: Duration, second: Does) -> (Reply, Duration) {
     let late = Does::AnswersLate(b"first".to_vec(), first);
     let server = Server::start(true, vec![late, second]);
@@ -27,8 +27,9 @@
     (client.reply(), sent.elapsed())
 }
 
-/// Guards against a request that waits behind another and is then given all of its time once more: its client leaves before
-/// that, without an answer. The bound is the promise: its own deadline, and the slack that the protocol page gives.
+/// Guards against a request that waits behind another and is then given all of its time once more: its client leaves
+/// before that, without an answer. The bound is the promise: its own deadline, and the slack that the protocol page
+/// gives.
 #[test]
 fn a_request_behind_a_late_one_is_answered_by_its_own_deadline() {
     let (reply, took) = second_behind_a_late_first(900 * MS, Does::AnswersLate(b"late".to_vec(), 2_500 * MS));
--- a/crates/cli/tests/rig/mod.rs
+++ b/crates/cli/tests/rig/mod.rs
@@ -25,7 +25,8 @@
 impl Gateway {
     pub fn start(number: usize, of: usize, discovery: SocketAddr, holds: bool) -> Gateway {
         let folder = tempfile::tempdir().expect("a folder");
-        // An address of its own: where all others connect from, the port could be given to one of them before it listens.
+        // An address of its own: where all others connect from, the port could be given to one of them before it
+        // listens.
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let own = NUMBER.fetch_add(1, Ordering::SeqCst);
         let own = format!("127.0.{}.{}:0", 100 + own / 200, 1 + own % 200);
--- a/crates/cli/tests/scout.rs
+++ b/crates/cli/tests/scout.rs
@@ -1,5 +1,5 @@
-//! Six processes of which one probes for all what is down: fewer probes reach it, it is found back in time, and a scout that is
-//! lost, stands still or is not heard leaves the others to probe by themselves.
+//! Six processes of which one probes for all what is down: fewer probes reach it, it is found back in time, and a
+//! scout that is lost, stands still or is not heard leaves the others to probe by themselves.
 
 use std::path::Path;
 use std::sync::{Mutex, MutexGuard};
@@ -17,7 +17,8 @@
 const WORD_MS: u64 = 2_500;
 /// The program's own, beyond the longest pause that routers make between two probes of what is down.
 const WORD_OWN_MS: u64 = 6_000;
-/// A gateway that has been spared a probe is spared the next one so much later at the earliest: asked for sooner it is sent.
+/// A gateway that has been spared a probe is spared the next one so much later at the earliest: asked for sooner it
+/// is sent.
 const SPARED_EVERY_MS: u64 = 500;
 
 /// One test at a time: routers that get no time to serve commands probe more seldom than the word is old.
@@ -82,8 +83,9 @@
     who.iter().map(|number| counts(ground, *number).1).sum()
 }
 
-/// The replica comes back: each of these finds it so, and is spared no more probes meanwhile than a word from before can spare
-/// it. That is what the scout may cost them, whatever the machine costs: the word's age is told by their own clocks.
+/// The replica comes back: each of these finds it so, and is spared no more probes meanwhile than a word from before
+/// can spare it. That is what the scout may cost them, whatever the machine costs: the word's age is told by their
+/// own clocks.
 fn comes_back(ground: &Ground, who: &[usize], word_ms: u64) -> Duration {
     let before: Vec<u64> = who.iter().map(|n| counts(ground, *n).1).collect();
     ground.store.back(DOWN, true);
@@ -102,8 +104,8 @@
     assert_eq!(played.broken, Vec::<String>::new());
 }
 
-/// Both at the same time, so that the machine is as busy to one as to the other, for as long as it takes until each has asked
-/// for some probes.
+/// Both at the same time, so that the machine is as busy to one as to the other, for as long as it takes until each
+/// has asked for some probes.
 #[test]
 fn fewer_probes_reach_what_is_down_and_all_find_it_back() {
     let _alone = alone();
@@ -130,8 +132,8 @@
     assert!(reached[0] > 0 && reached[0] * 2 < reached[1], "{reached:?}");
 }
 
-/// The scout is lost by `lose`: the others probe by themselves once its word is too old, another one is elected, and they are
-/// spared again. The replica comes back meanwhile or not, and each that runs finds it.
+/// The scout is lost by `lose`: the others probe by themselves once its word is too old, another one is elected, and
+/// they are spared again. The replica comes back meanwhile or not, and each that runs finds it.
 fn lost(lose: impl Fn(&mut Ground, usize)) -> (Ground, usize) {
     let mut ground = one_down(true);
     let (scout, epoch) = ground.holder(DUTY).expect("one scouts");
--- a/crates/cli/tests/serving.rs
+++ b/crates/cli/tests/serving.rs
@@ -16,8 +16,8 @@
     (Gateway::start(PROGRAM, discovery), changes)
 }
 
-/// Asks until it is not throttled, as clients do. A command that a busy machine makes late, by a quarter of its response target,
-/// is throttled by right; a gateway that has no other answer is found out by the bound.
+/// Asks until it is not throttled, as clients do. A command that a busy machine makes late, by a quarter of its
+/// response target, is throttled by right; a gateway that has no other answer is found out by the bound.
 fn ask(client: &mut Client, statement: &str) -> Reply {
     let began = Instant::now();
     loop {
@@ -107,8 +107,8 @@
             [1, 1],
         ),
     ] {
-        // A command that the machine makes late, by a quarter of its response target, is throttled by right, which tells nothing
-        // here: it is played again from the start.
+        // A command that the machine makes late, by a quarter of its response target, is throttled by right, which
+        // tells nothing here: it is played again from the start.
         let play = || {
             let (primary, replica) =
                 (Server::start(true, primary.clone()), Server::start(false, replica.clone()));
@@ -165,8 +165,9 @@
     let replica = Server::start(false, vec![Does::AnswersOnce(b"once".to_vec())]);
     let (gateway, _changes) = gateway(&primary, &replica);
     let mut client = gateway.client();
-    // A statement may cross the end of its connection and go on to the primary, as one may for which a busy machine makes the
-    // replica slow. One that is taken for gone would get none for two seconds each time, and no twenty in the bound.
+    // A statement may cross the end of its connection and go on to the primary, as one may for which a busy machine
+    // makes the replica slow. One that is taken for gone would get none for two seconds each time, and no twenty in
+    // the bound.
     let mut id = 0;
     until("reads at the replica", || {
         id += 1;
@@ -377,8 +378,8 @@
     gateway.signal("TERM");
     assert!(matches!(ask(&mut open, &read(2)), Reply::Value(_)));
     assert!(matches!(ask(&mut gateway.client(), &read(3)), Reply::Value(_)));
-    // Another gateway may not be there yet: open connections serve on while their commands can still be answered, which is up
-    // to a second before all must be (after 1.5 s, the longest client timeout here, and 0.5 s).
+    // Another gateway may not be there yet: open connections serve on while their commands can still be answered,
+    // which is up to a second before all must be (after 1.5 s, the longest client timeout here, and 0.5 s).
     let served_on = (4..).take_while(|id| {
         let reply = ask(&mut open, &read(*id));
         let early = began.elapsed() < Duration::from_millis(1_000);
@@ -391,8 +392,8 @@
     assert!(gateway.ended());
 }
 
-/// Guards against commands in hand at SIGTERM that outlast the process, which is killed some time after its longest client
-/// timeout: whoever waits for longer gets its answer before.
+/// Guards against commands in hand at SIGTERM that outlast the process, which is killed some time after its longest
+/// client timeout: whoever waits for longer gets its answer before.
 #[test]
 fn after_sigterm_whoever_waits_for_longer_than_the_gateway_lasts_is_answered_too() {
     let late = Does::AnswersLate(b"late".to_vec(), Duration::from_secs(20));
@@ -410,13 +411,13 @@
     assert_eq!(writer.reply(), Reply::Error("58000".into(), None));
     assert!(matches!(reader.reply(), Reply::Error(code, _) if code == "53300"));
     assert!(gateway.ended());
-    // The promise itself: all is answered 2 s after SIGTERM (the longest client timeout here, 1.5 s, and 0.5 s), not after
-    // the 9 s for which these clients would wait.
+    // The promise itself: all is answered 2 s after SIGTERM (the longest client timeout here, 1.5 s, and 0.5 s), not
+    // after the 9 s for which these clients would wait.
     assert!(began.elapsed() < Duration::from_millis(4_000), "{:?}", began.elapsed());
 }
 
-/// Guards against a command that came in before its connection was ended and was dropped unread: clients send on as long as
-/// they see no end, here without a pause over the whole stop.
+/// Guards against a command that came in before its connection was ended and was dropped unread: clients send on as
+/// long as they see no end, here without a pause over the whole stop.
 #[test]
 fn after_sigterm_no_command_on_an_open_connection_goes_unanswered() {
     let (primary, replica) = (Server::start(true, vec![value()]), Server::start(false, vec![value()]));
@@ -446,8 +447,8 @@
     }
 }
 
-/// Guards against connections that wait in the listen queue as it is closed: there may be more of them than are taken in one
-/// turn, where the process stood still for a moment.
+/// Guards against connections that wait in the listen queue as it is closed: there may be more of them than are taken
+/// in one turn, where the process stood still for a moment.
 #[test]
 fn after_sigterm_all_that_waits_in_the_listen_queue_is_answered() {
     let (primary, replica) = (Server::start(true, vec![value()]), Server::start(false, vec![value()]));
@@ -455,8 +456,8 @@
     let (address, _changes) = discovery(list(1, true, &entries));
     let mut gateway = Gateway::with_sockets(PROGRAM, address, 512);
     gateway.signal("TERM");
-    // It takes that up, and stands still until after a second, by when its queue was to be closed. Where it comes to neither in
-    // this time the queue is served as ever.
+    // It takes that up, and stands still until after a second, by when its queue was to be closed. Where it comes to
+    // neither in this time the queue is served as ever.
     std::thread::sleep(Duration::from_millis(300));
     gateway.signal("STOP");
     let asking: Vec<_> = (0..100)
--- a/crates/cli/tests/told.rs
+++ b/crates/cli/tests/told.rs
@@ -17,7 +17,8 @@
 const SILENCE_COUNTS: Duration = Duration::from_secs(6);
 const SIGHUP_COUNTS: Duration = Duration::from_secs(4);
 
-/// Guards against a watch that is believed to live for longer than what it misses may go unknown, here right after a beat.
+/// Guards against a watch that is believed to live for longer than what it misses may go unknown, here right after a
+/// beat.
 #[test]
 fn what_a_silent_watch_misses_is_known_before_it_counts() {
     let rig = Rig::new();
@@ -45,8 +46,8 @@
     assert!(last < SILENCE_COUNTS, "{last:?}");
 }
 
-/// Guards against patience with what was connected during a long outage and is never answered: what the agent has counts from
-/// the outage's end, and servers that drain may be sent to for a second.
+/// Guards against patience with what was connected during a long outage and is never answered: what the agent has
+/// counts from the outage's end, and servers that drain may be sent to for a second.
 #[test]
 fn after_a_long_outage_what_discovery_has_is_known_within_a_second() {
     let rig = Rig::new();
@@ -75,7 +76,8 @@
     assert!(last < 600 * MS, "{last:?}");
 }
 
-/// The same after SIGHUP, where the first connections to the new address get no word; the last list serves on until then.
+/// The same after SIGHUP, where the first connections to the new address get no word; the last list serves on until
+/// then.
 #[test]
 fn after_sighup_a_silent_discovery_is_asked_again_in_time() {
     let rig = Rig::new();
@@ -88,7 +90,8 @@
     assert!(last > 500 * MS && last < SIGHUP_COUNTS, "{last:?}");
 }
 
-/// Guards against pauses between tries that grow beyond what is left: here the new address refuses connections at first.
+/// Guards against pauses between tries that grow beyond what is left: here the new address refuses connections at
+/// first.
 #[test]
 fn after_sighup_a_discovery_that_refuses_is_tried_again_in_time() {
     let rig = Rig::new();
@@ -151,8 +154,8 @@
     });
 }
 
-/// Guards against a new process that serves by the list which its configuration carries while discovery's is on its way:
-/// that one counts from the first moment on.
+/// Guards against a new process that serves by the list which its configuration carries while discovery's is on its
+/// way: that one counts from the first moment on.
 #[test]
 fn a_new_process_sends_nothing_by_an_old_list() {
     std::thread::scope(|scope| {
@@ -240,8 +243,9 @@
     assert_eq!((before > 0, rig.replica.asked().len()), (true, before));
 }
 
-/// Guards against clients that send on each connection that stays open, up to SIGKILL, and were taken up to a moment in which
-/// nothing could be answered any more. All that is sent is served, or was sent on to nobody as its connection ended.
+/// Guards against clients that send on each connection that stays open, up to SIGKILL, and were taken up to a moment
+/// in which nothing could be answered any more. All that is sent is served, or was sent on to nobody as its
+/// connection ended.
 #[test]
 fn after_sigterm_all_that_can_be_served_is_served() {
     let late = || vec![Does::AnswersLate(b"late".to_vec(), 40 * MS)];
@@ -285,7 +289,8 @@
     assert!(gateway.ended() && since.elapsed() < 2_200 * MS, "{:?}", since.elapsed());
 }
 
-/// Guards against new connections closed with their first command unread: those that rest or say nothing make way instead.
+/// Guards against new connections closed with their first command unread: those that rest or say nothing make way
+/// instead.
 #[test]
 fn no_new_connection_is_closed_without_an_answer_where_descriptors_are_scarce() {
     let rig = Rig::new();
--- a/crates/cli/tests/written.rs
+++ b/crates/cli/tests/written.rs
@@ -1,5 +1,5 @@
-//! What is written to servers, and when: an attempt is judged again before its bytes go out, and a server may end at any
-//! moment of it. Servers note what reached them, so that no second attempt goes unseen.
+//! What is written to servers, and when: an attempt is judged again before its bytes go out, and a server may end at
+//! any moment of it. Servers note what reached them, so that no second attempt goes unseen.
 
 use std::io::{Read, Write};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -87,8 +87,8 @@
     });
 }
 
-/// What waits for its connection while its server is told draining or gone goes elsewhere, and does not use up an attempt:
-/// here there is only one.
+/// What waits for its connection while its server is told draining or gone goes elsewhere, and does not use up an
+/// attempt: here there is only one.
 #[test]
 fn a_server_that_drains_gets_nothing_that_waited_for_its_connection() {
     for health in ["draining", "removed"] {
@@ -110,8 +110,8 @@
     }
 }
 
-/// What waits for a connection to a process that is no more is placed anew: where its server listens by now, or at the new
-/// process, for which it may not be meant.
+/// What waits for a connection to a process that is no more is placed anew: where its server listens by now, or at
+/// the new process, for which it may not be meant.
 #[test]
 fn what_waits_for_a_process_that_is_no_more_is_placed_anew() {
     for moved in [true, false] {
@@ -137,8 +137,8 @@
     }
 }
 
-/// Guards against what is placed anew while connections to other processes that are no more still stand: it would be written
-/// to one of those, which is closed right behind it, and count as never sent.
+/// Guards against what is placed anew while connections to other processes that are no more still stand: it would be
+/// written to one of those, which is closed right behind it, and count as never sent.
 #[test]
 fn what_is_placed_anew_as_several_servers_restart_is_written_once() {
     let (held, free) = (late(false, "held", 0), plain(false, "free"));
@@ -200,8 +200,8 @@
     }
 }
 
-/// A server that vanished takes connections no further: nothing counts as sent, the client is told in its time that trying
-/// again does no harm, and the server gets nothing once it is back.
+/// A server that vanished takes connections no further: nothing counts as sent, the client is told in its time that
+/// trying again does no harm, and the server gets nothing once it is back.
 #[test]
 fn a_server_that_vanished_gets_nothing_when_it_is_back() {
     let primary = late(true, "late", 0);
@@ -381,8 +381,8 @@
     assert_eq!(primary.asked().len(), 1);
 }
 
-/// A server may turn a statement away before all of it has come. The rest must not reach it on the resting connection, when
-/// the command is on its way again.
+/// A server may turn a statement away before all of it has come. The rest must not reach it on the resting
+/// connection, when the command is on its way again.
 #[test]
 fn what_was_turned_away_half_written_is_not_finished_later() {
     let (go, goes) = mpsc::channel::<()>();
@@ -410,7 +410,8 @@
     assert_eq!(primary.asked().len(), 1);
 }
 
-/// A connection that ends right behind its startup has taken no statement: one that may not be repeated goes out on another.
+/// A connection that ends right behind its startup has taken no statement: one that may not be repeated goes out on
+/// another.
 #[test]
 fn a_connection_that_ends_behind_its_startup_takes_no_statement() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -452,7 +453,8 @@
     assert_eq!(client.reply(), value("another"));
 }
 
-/// A server that does `bad` with the next statement where that is wanted, and ends the connection; how many began to come.
+/// A server that does `bad` with the next statement where that is wanted, and ends the connection; how many began to
+/// come.
 struct AtTimes {
     server: Gated,
     wanted: Arc<AtomicBool>,
@@ -519,8 +521,8 @@
     }
 }
 
-/// A server ends in the middle of its answer, at each byte, or hangs there: no part of it is passed on, and what may not be
-/// repeated is not. What was answered whole counts, whatever becomes of the connection.
+/// A server ends in the middle of its answer, at each byte, or hangs there: no part of it is passed on, and what may
+/// not be repeated is not. What was answered whole counts, whatever becomes of the connection.
 #[test]
 fn an_answer_that_is_cut_anywhere_is_no_answer() {
     let whole = row(b"cut");
@@ -595,8 +597,8 @@
     assert_eq!(server.asked().len(), 1);
 }
 
-/// A server closes an idle connection in the moment in which the next statement comes: its end is seen before the first byte,
-/// and the statement goes out on another.
+/// A server closes an idle connection in the moment in which the next statement comes: its end is seen before the
+/// first byte, and the statement goes out on another.
 #[test]
 fn the_end_of_an_idle_connection_that_crosses_its_reuse_costs_nothing() {
     let (go, goes) = mpsc::channel::<()>();
@@ -622,8 +624,8 @@
     assert_eq!([server.asked().len(), server.came()], [2, 2]);
 }
 
-/// The same where the end is behind another event of the same turn, by which the idle connection gets its statement: only a
-/// look at the connection itself, right before the first byte, finds it.
+/// The same where the end is behind another event of the same turn, by which the idle connection gets its statement:
+/// only a look at the connection itself, right before the first byte, finds it.
 #[test]
 fn the_end_of_an_idle_connection_is_seen_before_the_first_byte() {
     let (turn, turns) = mpsc::channel::<()>();
@@ -661,7 +663,8 @@
     assert_eq!([server.asked().len(), server.came()], [3, 3]);
 }
 
-/// A client leaves and another one takes its `id` while the first attempt is still out: each answer is its own attempt's.
+/// A client leaves and another one takes its `id` while the first attempt is still out: each answer is its own
+/// attempt's.
 #[test]
 fn an_id_that_is_taken_again_gets_its_own_answer() {
     let (go, goes) = mpsc::channel::<()>();
--- a/crates/council/src/council.rs
+++ b/crates/council/src/council.rs
@@ -322,8 +322,9 @@
             return;
         }
         let ends = seat.raw.raft.raft_log.last_index();
-        // The leader names only what this disk has said to hold. Others name what it has said while they led: guards against an
-        // old copy that makes up a majority with whoever was cut off, and is asked for its vote before it is led.
+        // The leader names only what this disk has said to hold. Others name what it has said while they led: guards
+        // against an old copy that makes up a majority with whoever was cut off, and is asked for its vote before it
+        // is led.
         let told = if kind == MessageType::MsgHeartbeat && raft.term >= seat.raw.raft.term {
             raft.commit
         } else {
@@ -479,8 +480,8 @@
         }
     }
 
-    /// Who takes proposals now: itself where it leads, the leader where one is known, and for one without a seat any seat
-    /// if the leader has not answered.
+    /// Who takes proposals now: itself where it leads, the leader where one is known, and for one without a seat any
+    /// seat if the leader has not answered.
     fn carries_to(&self) -> Option<String> {
         match &self.seat {
             Some(seat) if seat.leads() => Some(self.me.clone()),
@@ -558,7 +559,8 @@
         std::mem::take(&mut self.out)
     }
 
-    /// Proposes an entry and gives its ticket. It is carried to the leader, and repeated until it is decided or given up.
+    /// Proposes an entry and gives its ticket. It is carried to the leader, and repeated until it is decided or given
+    /// up.
     pub fn propose(&mut self, now: Micros, entry: M::Entry) -> u64 {
         self.tickets += 1;
         let ticket = self.tickets;
@@ -576,8 +578,8 @@
         std::mem::take(&mut self.decided)
     }
 
-    /// On seats: entries applied since, in order. After a start those that the disk holds beyond its last whole state come
-    /// again; those before, and those that came to a seat far behind as one whole state, do not.
+    /// On seats: entries applied since, in order. After a start those that the disk holds beyond its last whole state
+    /// come again; those before, and those that came to a seat far behind as one whole state, do not.
     pub fn take_applied(&mut self) -> Vec<Applied<M::Entry, M::Outcome>> {
         std::mem::take(&mut self.applied)
     }
@@ -636,8 +638,9 @@
         status
     }
 
-    /// Leaves the lead to the seat that has most of the log, where this one has it: for one that is about to end, so that the
-    /// others need not wait for an election. Proposals are decided again as soon as that one leads, a few ways later.
+    /// Leaves the lead to the seat that has most of the log, where this one has it: for one that is about to end, so
+    /// that the others need not wait for an election. Proposals are decided again as soon as that one leads, a few
+    /// ways later.
     pub fn hand_over(&mut self) {
         let Some(seat) = self.seat.as_mut().filter(|seat| seat.leads()) else { return };
         let raft = &seat.raw.raft;
@@ -649,8 +652,9 @@
         }
     }
 
-    /// The process stood still: what was due starts anew, and nobody's silence in the meantime counts. What was silent before
-    /// does. Guards against a disk that is gone and never replaced, where leaders stand still for some beats every few seconds.
+    /// The process stood still: what was due starts anew, and nobody's silence in the meantime counts. What was
+    /// silent before does. Guards against a disk that is gone and never replaced, where leaders stand still for some
+    /// beats every few seconds.
     pub fn moved(&mut self, now: Micros) {
         let meantime = now.saturating_sub(self.tick_due);
         (self.tick_due, self.ask_due, self.council_heard) = (now + self.terms.beat, now, now);
--- a/crates/council/src/council/seating.rs
+++ b/crates/council/src/council/seating.rs
@@ -38,8 +38,9 @@
 }
 
 impl<M: Machine> Council<M> {
-    /// Notes on disk that the log is decided up to a change of seats, before anything is done under it: a seat that forgot
-    /// several of them at a restart could hold a majority of those that sat before, and decide beside the others.
+    /// Notes on disk that the log is decided up to a change of seats, before anything is done under it: a seat that
+    /// forgot several of them at a restart could hold a majority of those that sat before, and decide beside the
+    /// others.
     pub(super) fn note(&mut self, index: u64) -> Result<(), Fault> {
         let Some(seat) = &mut self.seat else { return Ok(()) };
         if seat.hard.commit < index && !slips::is(Slip::SeatingForgotten) {
--- a/crates/council/src/council/wholes.rs
+++ b/crates/council/src/council/wholes.rs
@@ -1,4 +1,5 @@
-//! States in one piece: written where the log grows long, and handed in parts to a seat that is further behind than it reaches.
+//! States in one piece: written where the log grows long, and handed in parts to a seat that is further behind than
+//! it reaches.
 
 use raft::prelude::MessageType;
 use raft::{ProgressState, SnapshotStatus};
@@ -44,8 +45,8 @@
         let terms = &self.terms;
         let Some(seat) = &mut self.seat else { return };
         let late = OFFER_FOR * terms.elect_after;
-        // raft waits for an answer beyond what the receiver has confirmed. A late refusal can make it offer a whole state to one
-        // that has confirmed more, and then it would wait for good.
+        // raft waits for an answer beyond what the receiver has confirmed. A late refusal can make it offer a whole
+        // state to one that has confirmed more, and then it would wait for good.
         let waits = seat.raw.raft.prs().iter().filter(|(_, p)| p.state == ProgressState::Snapshot);
         let ends = waits.filter_map(|(disk, progress)| match progress.matched >= progress.pending_snapshot {
             true => Some((*disk, SnapshotStatus::Finish)),
--- a/crates/council/src/lib.rs
+++ b/crates/council/src/lib.rs
@@ -1,8 +1,8 @@
 //! Gateways that agree on one log of entries, and on the state that follows from it. A few of them sit in the council
-//! and keep the log on disk; all others follow the state. Consensus is Raft by the crate raft; here stand its storage,
-//! who sits, how entries are carried to the leader and applied once, and how followers catch up. There is no clock,
-//! thread or socket; only [`store`] touches a disk. The host calls [`Council::heard`] and [`Council::settle`], then sends
-//! what [`Council::take_out`] holds.
+//! and keep the log on disk; all others follow the state. Consensus is Raft by the crate raft; here stand its
+//! storage, who sits, how entries are carried to the leader and applied once, and how followers catch up. There is no
+//! clock, thread or socket; only [`store`] touches a disk. The host calls [`Council::heard`] and [`Council::settle`],
+//! then sends what [`Council::take_out`] holds.
 //!
 //! To lead grants nothing by itself: whoever needs a right for a time gets it by an entry.
 
--- a/crates/council/src/machine.rs
+++ b/crates/council/src/machine.rs
@@ -19,8 +19,9 @@
     /// Index up to which this state is whole: of the last entry applied, or as the last changes taken said.
     fn whole(&self) -> u64;
 
-    /// What changed after `since` (an index; 0: everything), in the order to be taken, in about `most_bytes`. Whoever was
-    /// whole up to `since` and takes them is whole up to what [`Machine::whole`] then says there. Empty: nothing newer.
+    /// What changed after `since` (an index; 0: everything), in the order to be taken, in about `most_bytes`. Whoever
+    /// was whole up to `since` and takes them is whole up to what [`Machine::whole`] then says there. Empty: nothing
+    /// newer.
     fn changes(&self, since: u64, most_bytes: usize) -> Vec<Self::Change>;
 
     /// Takes what [`Machine::changes`] gave elsewhere.
--- a/crates/council/src/sessions.rs
+++ b/crates/council/src/sessions.rs
@@ -1,5 +1,5 @@
-//! What was decided of each proposer's tickets, so that a proposal which was repeated is applied once. Part of the agreed
-//! state.
+//! What was decided of each proposer's tickets, so that a proposal which was repeated is applied once. Part of the
+//! agreed state.
 
 use std::collections::BTreeMap;
 
--- a/crates/council/src/store.rs
+++ b/crates/council/src/store.rs
@@ -398,9 +398,9 @@
     File::create(folder, |disk, council| Kept::founder(disk, council, name)).map(drop)
 }
 
-/// Makes the disk in `folder`, whose council has lost the majority of its disks for good, that of another council, which
-/// `name` founds alone with all that this disk holds. What only the lost ones held is lost; of several disks that are left the
-/// one that is decided furthest is to be taken, and the others are set aside.
+/// Makes the disk in `folder`, whose council has lost the majority of its disks for good, that of another council,
+/// which `name` founds alone with all that this disk holds. What only the lost ones held is lost; of several disks
+/// that are left the one that is decided furthest is to be taken, and the others are set aside.
 ///
 /// # Errors
 /// There is no disk that has sat, or it cannot be read or written.
--- a/crates/council/src/wire.rs
+++ b/crates/council/src/wire.rs
@@ -1,5 +1,5 @@
-//! What members tell each other. Bodies are postcard; protobuf, which the crate raft is built with, never reads what came
-//! over the network.
+//! What members tell each other. Bodies are postcard; protobuf, which the crate raft is built with, never reads what
+//! came over the network.
 
 use raft::prelude::{Entry, EntryType, Message, MessageType};
 use serde::{Deserialize, Serialize};
--- a/crates/council/tests/council/disk.rs
+++ b/crates/council/tests/council/disk.rs
@@ -68,7 +68,8 @@
     drop(open);
 }
 
-/// Whatever stands in the file, opening it either finds all that was written, or sets it aside and begins as a stranger.
+/// Whatever stands in the file, opening it either finds all that was written, or sets it aside and begins as a
+/// stranger.
 #[test]
 fn a_damaged_file_is_set_aside() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -223,7 +224,8 @@
     assert!(news.iter().any(|news| matches!(news, News::Other { council: other, .. } if *other == council)));
 }
 
-/// Two of three disks are lost: the third founds another council with all that it holds, and strangers and followers join.
+/// Two of three disks are lost: the third founds another council with all that it holds, and strangers and followers
+/// join.
 #[test]
 fn a_council_is_founded_again_from_one_disk() {
     let folder = tempfile::tempdir().expect("a folder");
--- a/crates/council/tests/council/faults.rs
+++ b/crates/council/tests/council/faults.rs
@@ -1,5 +1,5 @@
-//! Whatever the network, the disks and the processes do: one decision at one index, nothing acknowledged is lost, nothing
-//! is applied twice.
+//! Whatever the network, the disks and the processes do: one decision at one index, nothing acknowledged is lost,
+//! nothing is applied twice.
 
 use tansyjunction_council::store::Memory;
 use tansyjunction_council::{News, Role, Terms};
@@ -143,8 +143,8 @@
     assert!(crashes > 150, "{crashes} crashes");
 }
 
-/// The founder loses its disk, and with it what it has vouched for: it comes back as a stranger and is seated anew, and the
-/// others go on. Its old disk, put back later, never sits again.
+/// The founder loses its disk, and with it what it has vouched for: it comes back as a stranger and is seated anew,
+/// and the others go on. Its old disk, put back later, never sits again.
 #[test]
 fn a_lost_disk_comes_back_as_a_new_one() {
     for seed in 0..6 {
@@ -185,8 +185,9 @@
     }
 }
 
-/// On a busy machine whoever leads stands still for some beats now and then. What it could not hear meanwhile counts for
-/// nobody's silence, and all else does: a disk that is gone is replaced, though no five seconds pass without such a pause.
+/// On a busy machine whoever leads stands still for some beats now and then. What it could not hear meanwhile counts
+/// for nobody's silence, and all else does: a disk that is gone is replaced, though no five seconds pass without such
+/// a pause.
 #[test]
 fn a_lost_disk_is_replaced_by_leaders_that_stand_still_now_and_then() {
     for seed in 0..6 {
--- a/crates/duties/benches/leases.rs
+++ b/crates/duties/benches/leases.rs
@@ -1,4 +1,4 @@
-//! What duties cost a gateway with each effect, and a seat with each entry.
+//! Cost of duties: of the check before each effect at a gateway, and of each entry at a member.
 
 use std::hint::black_box;
 
@@ -12,19 +12,19 @@
 }
 
 fn some(criterion: &mut Criterion) {
-    let mut register = Register::default();
+    let mut register = SharedState::default();
     register.apply(1, &Entry::Renewals((0..1_000).map(|gateway| renewal(gateway, 1)).collect()));
-    let mut holder = Holder::new("n7", 1, Terms::default());
+    let mut holder = LeaseHolder::new("n7", 1, LeaseConfig::default());
     for shard in 0..16 {
-        let duty = duty_of(shard);
+        let duty = conductor_duty_of(shard);
         register.apply(2, &Entry::Open { duty: duty.clone(), scope: Scope::Shard(shard) });
         register.apply(3, &Entry::Grant { duty, after_epoch: 0, to: "n7".into() });
     }
-    let mut asked = holder.ask(10, &register, Own::default());
+    let mut asked = holder.create_renewal(10, &register, GatewayReport::default());
     asked.number = 2;
-    holder.ask(10, &register, Own::default());
+    holder.create_renewal(10, &register, GatewayReport::default());
     let outcome = register.apply(4, &Entry::Renewals(vec![asked]));
-    holder.decided(20, &outcome);
+    holder.on_outcome(20, &outcome);
     assert_eq!(holder.may_act(30, "conductor/7"), Some(1));
     criterion.bench_function("may_act, of 16 duties", |bench| {
         bench.iter(|| holder.may_act(black_box(30), black_box("conductor/7")));
@@ -44,12 +44,16 @@
             criterion::BatchSize::SmallInput,
         );
     });
-    let mut grantor = Grantor::new(Terms::default());
+    let mut grantor = LeaseGrantor::new(LeaseConfig::default());
     let mut now = 0;
     criterion.bench_function("what a seat proposes, of 1,000 gateways", |bench| {
         bench.iter(|| {
             now += 1_000;
-            grantor.due(now % 500_000, &register, &Evidence { leads: true, ..Evidence::default() })
+            grantor.due_proposals(
+                now % 500_000,
+                &register,
+                &ElectionEvidence { is_leader: true, ..ElectionEvidence::default() },
+            )
         });
     });
 }
--- a/crates/duties/src/entry.rs
+++ b/crates/duties/src/entries.rs
@@ -1,145 +1,145 @@
-//! What is proposed, decided and applied.
+//! Entries of the replicated log, the objects they change, and their outcomes.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// A name, at most: of a document, gateway, zone or duty. Bytes.
-pub const NAME_MOST: usize = 128;
-/// A document's body, at most: an entry must fit a datagram of the council. Bytes.
-pub const BODY_MOST: usize = 48 << 10;
-/// What a gateway says in its renewal, at most. Bytes of keys and values together.
-pub const SAYS_MOST: usize = 4 << 10;
-/// Documents, duties and attendances, at most of each: the register is kept in memory and sent whole to newcomers.
-pub const COUNT_MOST: usize = 4_096;
+/// Most bytes in the name of a document, gateway, zone or duty.
+pub const MAX_NAME_BYTES: usize = 128;
+/// Most bytes in a document's body: an entry must fit into a datagram.
+pub const MAX_BODY_BYTES: usize = 48 << 10;
+/// Most bytes of keys and values that a gateway reports in a renewal.
+pub const MAX_REPORT_BYTES: usize = 4 << 10;
+/// Most documents, duties and attendances each: the state is kept in memory and sent whole to new members.
+pub const MAX_OBJECTS: usize = 4_096;
 
-/// A body that all agree on, under a name.
+/// A versioned document that all gateways agree on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Document {
-    /// Grows with each replacement, from 1; never begins anew under one name.
+    /// Increases with each replacement, from 1; never starts over under the same name.
     pub version: u64,
     pub body: String,
-    /// Who proposed it.
+    /// The gateway that proposed it.
     pub by: String,
     pub fence: Option<Fence>,
-    /// Where in the log it was decided.
+    /// Log index of its decision.
     pub index: u64,
 }
 
-/// Under which duty and epoch a document or effect is meant.
+/// The duty and epoch under which a document or effect is written; a fencing token.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Fence {
     pub duty: String,
     pub epoch: u64,
 }
 
-/// A gateway that takes part.
+/// A gateway's registration, kept alive by renewals like a lease.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Attendance {
-    /// Which run of the process.
+    /// Identifies the run of the process; later runs have larger numbers.
     pub life: u64,
-    /// The number of the last renewal taken of this life. Followers may have an older one.
+    /// Number of the last accepted renewal of this run. Followers may have an older one.
     pub number: u64,
-    /// Counts all renewals taken: what [`Entry::Absent`] compares. Followers may have an older one.
+    /// Changes with each accepted renewal; compared by [`Entry::Absent`]. Followers may have an older one.
     pub renewal: u64,
-    /// It acts by the documents up to this index.
+    /// It has adopted the documents up to this index.
     pub taken: u64,
     pub zone: String,
-    /// How ill it takes itself to be: 0 is well, 8 the worst.
+    /// Health reported by itself: 0 is healthy, 8 the worst.
     pub health: u8,
-    /// Tenths of its room that are free; 0: none, or it is about to leave.
+    /// Tenths of its capacity that are free; 0: none, or it is about to leave.
     pub room: u8,
     pub says: BTreeMap<String, String>,
-    /// Where in the log it last changed in more than its counts.
+    /// Log index of its last change other than of counters.
     pub index: u64,
 }
 
-/// For whom a duty is.
+/// What a duty applies to.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Scope {
     #[default]
     Fleet,
-    /// A holder in this zone is preferred.
+    /// A zone; a holder in it is preferred.
     Zone(String),
     Shard(u32),
 }
 
-/// How a duty stands.
+/// State of a duty.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Standing {
     Held,
-    /// No renewal is taken any more; vacant once the lease has run out or the holder has given it back.
+    /// Renewals are no longer accepted; vacant once the lease has expired or the holder has released it.
     Revoked {
         why: Revoked,
     },
     Vacant {
-        /// Index since which it is.
+        /// Log index since which it is vacant.
         since: u64,
         why: Vacated,
     },
 }
 
-/// Why a duty is taken away.
+/// Why a duty is revoked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Revoked {
-    /// It renews, work waits, and nothing is done.
+    /// The holder renews and has work, but makes no progress.
     Stalled,
-    /// By its own word it is ill or about to leave.
+    /// The holder reports that it is unhealthy or about to leave.
     Unwell,
-    /// An operator wants it so.
+    /// An operator requested it.
     Operator,
 }
 
 /// Why a duty has no holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Vacated {
-    /// Never granted yet.
+    /// It was never granted.
     New,
-    /// The holder was not heard of for the lease.
+    /// The lease expired without a renewal.
     RanOut,
-    /// Taken away, and the lease is over or given back.
+    /// It was revoked, and the lease expired or was released.
     Revoked(Revoked),
-    /// The holder gave it back.
+    /// The holder released it.
     GivenBack(GivenBack),
 }
 
-/// Why a holder gives a duty back.
+/// Why a holder releases a duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum GivenBack {
-    /// It leaves.
+    /// It shuts down.
     Leaves,
-    /// It was told that the duty is taken away.
+    /// The duty was revoked.
     Revoked,
-    /// It needs a newer epoch, so that nothing of this one can come any more.
+    /// It needs a newer epoch, so that no effect of the current one can still arrive.
     NewEpoch,
-    /// It can't do it.
+    /// It cannot perform the duty.
     Unable,
 }
 
-/// A duty that one gateway holds at a time.
+/// A task that one gateway performs at a time, under a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Duty {
     pub scope: Scope,
-    /// Grows by one with each holder; never begins anew under one name.
+    /// Increases by one with each holder; never starts over under the same name.
     pub epoch: u64,
-    /// The gateway and its life, unless vacant.
+    /// The holder and the run of its process; `None` if vacant.
     pub holder: Option<(String, u64)>,
-    /// Counts the renewals taken in this epoch: what [`Entry::Expire`] compares. Followers may have an older one.
+    /// Number of renewals accepted in this epoch; compared by [`Entry::Expire`]. Followers may have an older one.
     pub renewal: u64,
     pub standing: Standing,
-    /// The holder's own count of what it has done, and whether work waits. Followers may have older ones.
+    /// Work done, as counted by the holder, and whether more work waits. Followers may have older values.
     pub progress: u64,
     pub waits: bool,
-    /// Who lost it other than by its own will, newest last; at most [`LOST_KEPT`].
+    /// Gateways that lost it involuntarily, newest last; at most [`MAX_LOSSES`].
     pub lost: Vec<Lost>,
-    /// Where in the log it last changed in more than its counts.
+    /// Log index of its last change other than of counters.
     pub index: u64,
 }
 
-/// So many losses of a duty are remembered.
-pub const LOST_KEPT: usize = 8;
+/// Most losses of a duty that are recorded.
+pub const MAX_LOSSES: usize = 8;
 
-/// A gateway lost a duty other than by its own will.
+/// An involuntary loss of a duty.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lost {
     pub gateway: String,
@@ -147,10 +147,10 @@
     pub index: u64,
 }
 
-/// What is proposed to the council. Each is valid only as long as what it compares still holds when it is applied.
+/// A proposal to the replicated log. It takes effect only if the values it names still match when it is applied.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Entry {
-    /// Replaces the document of version `expected` (0: there must be none); no body takes it away.
+    /// Replaces the document of version `expected` (0: there must be none). Without a body the document is removed.
     Put {
         name: String,
         expected: u64,
@@ -158,10 +158,10 @@
         by: String,
         fence: Option<Fence>,
     },
-    /// Attendance and held duties; of several gateways in one where a proposer has several.
+    /// Renews attendance and held duties. May contain renewals of several gateways.
     Renewals(Vec<Renewal>),
-    /// The gateway leaves, in this life, and has stopped all ([`Holder::leave`](crate::Holder::leave)): its attendance is out
-    /// at once, and what it held is vacant.
+    /// The gateway leaves and has stopped all its duties ([`LeaseHolder::leave`](crate::LeaseHolder::leave)): its
+    /// attendance ends at once and its duties become vacant.
     Leave {
         gateway: String,
         life: u64,
@@ -170,127 +170,128 @@
         duty: String,
         scope: Scope,
     },
-    /// Vacant or held at exactly this epoch; if held, its holder has stopped before it proposes this.
+    /// Removes the duty if its epoch matches. If it is held, the holder has stopped before it proposes this.
     Close {
         duty: String,
         epoch: u64,
     },
-    /// Epoch + 1 for `to`; only if vacant at exactly that epoch.
+    /// Grants the duty to `to` at the next epoch; only if it is vacant at exactly `after_epoch`.
     Grant {
         duty: String,
         after_epoch: u64,
         to: String,
     },
-    /// By the holder, which has stopped before it proposes this: `to` holds epoch + 1 at once; vacant if `to` does not attend.
+    /// Proposed by the holder, which has stopped before: `to` holds the next epoch at once; vacant if `to` does not
+    /// attend.
     HandOn {
         duty: String,
         epoch: u64,
         to: String,
     },
-    /// By the holder, which has stopped before it proposes this.
+    /// Proposed by the holder, which has stopped before.
     Release {
         duty: String,
         epoch: u64,
         why: GivenBack,
     },
-    /// No renewal is taken any more. [`Revoked::Stalled`] holds only if nothing was done beyond `progress`.
+    /// Stops accepting renewals. [`Revoked::Stalled`] takes effect only if there was no progress beyond `progress`.
     Revoke {
         duty: String,
         epoch: u64,
         progress: u64,
         why: Revoked,
     },
-    /// The lease of exactly this renewal has run out.
+    /// Ends the lease if this was its last renewal.
     Expire {
         duty: String,
         epoch: u64,
         renewal: u64,
     },
-    /// The attendance of exactly this renewal has run out.
+    /// Ends the attendance if this was its last renewal.
     Absent {
         gateway: String,
         renewal: u64,
     },
 }
 
-/// A gateway's word that it lives.
+/// A gateway's heartbeat, which renews its attendance and its leases.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Renewal {
     pub gateway: String,
     pub life: u64,
-    /// Grows with each renewal of a life; an older one is not taken after a newer one.
+    /// Increases with each renewal of a run; older ones are rejected after newer ones.
     pub number: u64,
-    /// It acts by the documents up to this index.
+    /// It has adopted the documents up to this index.
     pub taken: u64,
     pub zone: String,
-    /// 0 is well, 8 the worst.
+    /// 0 is healthy, 8 the worst.
     pub health: u8,
-    /// Tenths; 0: none, or about to leave.
+    /// Tenths of the capacity that are free; 0: none, or about to leave.
     pub room: u8,
     pub says: BTreeMap<String, String>,
     pub duties: Vec<Work>,
 }
 
-/// A held duty in a renewal.
+/// The renewal of one duty.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Work {
     pub duty: String,
     pub epoch: u64,
-    /// Grows with each thing done.
+    /// Increases with each piece of work done.
     pub progress: u64,
-    /// Work waits to be done.
+    /// Whether work waits.
     pub waits: bool,
 }
 
-/// What became of an entry.
+/// Outcome of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Taken; `at` is the version of a document, the epoch of a duty, else the index.
+    /// Applied; `at` is the version of a document, the epoch of a duty, or else the index.
     Done {
         at: u64,
     },
-    /// Another was decided first.
+    /// Another entry was decided first.
     Overtaken {
         by: By,
     },
-    /// The duty has another epoch or holder, or was taken away: nothing of this epoch counts any more.
+    /// The duty has another epoch or holder, or was revoked: this epoch is over.
     Fenced {
         epoch: u64,
         holder: Option<String>,
     },
     Refused(Refused),
-    /// For each renewal, in order.
+    /// Results of the renewals, in order.
     Renewed(Vec<Renewed>),
 }
 
-/// What was decided first.
+/// The current value that the entry did not match.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum By {
-    /// The document stands at this version, by this gateway; 0 and nobody: there is none.
+    /// Version of the document and the gateway that wrote it; 0 and an empty name if there is none.
     Version { version: u64, by: String },
-    /// The duty stands at this epoch, held by this gateway.
+    /// Epoch and holder of the duty.
     Epoch { epoch: u64, holder: Option<String> },
-    /// Renewed up to this count.
+    /// Count of the last renewal.
     Renewal { renewal: u64 },
-    /// The holder has done so much since.
+    /// Progress of the holder.
     Progress { progress: u64 },
-    /// Another life of the gateway.
+    /// Another run of the gateway.
     Life { life: u64 },
 }
 
-/// What became of one gateway's renewal.
+/// Result of one gateway's renewal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Renewed {
     pub gateway: String,
     pub life: u64,
     pub number: u64,
-    /// Whether it attends by this renewal.
+    /// Whether its attendance was renewed.
     pub attends: Result<(), Refused>,
-    /// Each duty and its epoch as asked, in order, and whether it is held by this renewal.
+    /// Each requested duty and epoch, in order, and whether its lease was renewed.
     pub duties: Vec<(String, u64, Result<(), Refused>)>,
 }
 
-/// Why something is not taken, whoever else proposes.
+/// Why an entry is invalid, whatever was decided before it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum Refused {
     #[error("there is no duty {duty}")]
--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -1,42 +1,49 @@
-//! What a fleet of gateways agrees on, and who of them acts for all: documents with versions, attendance, and duties
-//! that one gateway holds at a time. All is decided here without I/O, clock or threads.
+//! State that a fleet of gateways agrees on: versioned documents, the gateways that attend, and duties. A duty is a
+//! task that one gateway performs at a time, under a lease; its epoch is the fencing token. Everything here is a
+//! state machine without I/O, clock or threads.
 //!
-//! 1. [`Register`] is the agreed state: every [`Entry`] is decided by the council and applied everywhere in one order.
-//! 2. [`Holder`] stands at each gateway: it asks for renewals and says whether its gateway may act ([`Holder::may_act`]).
-//! 3. [`Grantor`] stands at each seat of the council: it says what is to be proposed now: what ran out, who stalls, who is
-//!    next ([`elect`]).
-//! 4. [`Fences`] stands where effects are carried out, and takes none of an epoch older than one that it has seen.
-//! 5. [`conduct`] says what the holder of a shard's change does next, from the agreed state alone.
-//! 6. [`Scout`] says which probes a gateway need not send, since another one holds the duty to.
+//! 1. [`SharedState`] is the replicated state. Each [`Entry`] is decided by consensus and applied everywhere in the
+//!    same order.
+//! 2. [`LeaseHolder`] runs on each gateway: it requests renewals and tells whether the gateway may act
+//!    ([`LeaseHolder::may_act`]).
+//! 3. [`LeaseGrantor`] runs on each voting member: it proposes what is due, such as expired leases, stalled holders and
+//!    the next holder ([`elect`]).
+//! 4. [`EpochFence`] runs where effects are executed, and rejects epochs older than one already seen.
+//! 5. [`next_action`] tells the holder of a shard's conductor duty its next step in a change of primary, from the
+//!    shared state alone.
+//! 6. [`ProbeDelegation`] tells a gateway which probes it need not send because another one is responsible for them.
 //!
-//! Nothing reads a wall clock: times are whole microseconds of each one's own clock, which may run up to
-//! [`Terms::drift`] too fast or too slow. `docs/duties.md` has the argument why no two act at once.
-
-mod changes;
+//! No wall clock is used. Times are whole microseconds of each process's own clock, which may run faster or slower than
+//! true time by at most [`LeaseConfig::drift`]. `docs/duties.md` shows why no two gateways act at once.
 mod conductor;
-mod elect;
-mod entry;
-mod fences;
-mod grantor;
-mod holder;
-mod machine;
-mod register;
-mod scout;
-pub mod slips;
-mod terms;
+mod election;
+mod entries;
+mod epoch_fence;
+mod lease_config;
+mod lease_grantor;
+mod lease_holder;
+mod probe_delegation;
+pub mod seeded_faults;
+mod shared_state;
+mod state_changes;
+mod state_machine;
 
-pub use changes::Change;
 pub use conductor::{
-    Next, Plan, Seen, Step, Switch, Switched, Waits, Word, conduct, duty_of, plan_of, shard_of,
+    ConductorAction, ConductorView, Plan, ShardReport, Step, Switch, SwitchResult, WaitReason,
+    conductor_duty_of, next_action, plan_document_of, shard_of,
+};
+pub use election::{ElectionEvidence, NoCandidate, elect};
+pub use entries::*;
+pub use epoch_fence::{EpochFence, StaleEpoch};
+pub use lease_config::{ConfigError, LeaseConfig};
+pub use lease_grantor::LeaseGrantor;
+pub use lease_holder::{GatewayReport, LeaseEnd, LeaseEndReason, LeaseHolder};
+pub use probe_delegation::{
+    ProbeContext, ProbeDelegation, ProbeResult, ReportedResult, open_probing_duty, probed_group,
+    probing_duty_of,
 };
-pub use elect::{Evidence, Nobody, elect};
-pub use entry::*;
-pub use fences::{Fences, Stale};
-pub use grantor::Grantor;
-pub use holder::{Ended, Holder, Lapse, Own};
-pub use register::Register;
-pub use scout::{Found, Heard, Known, Scout, open_scout, scout_of, scouted};
-pub use terms::{Fault, Terms};
+pub use shared_state::SharedState;
+pub use state_changes::Change;
 
-/// Whole microseconds.
+/// A time or duration in microseconds.
 pub use tansyjunction::interface::Micros;
--- a/crates/duties/src/register.rs
+++ b/crates/duties/src/shared_state.rs
@@ -1,48 +1,49 @@
-//! The agreed state: the same entries in the same order lead to the same state everywhere.
+//! The replicated state: the same entries in the same order give the same state on every member.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-use crate::entry::*;
-use crate::slips::{self, Slip};
+use crate::entries::*;
+use crate::seeded_faults::{self, SeededFault};
 
-/// What is no longer there: so that followers hear of it, and so that no version, epoch or life begins anew.
+/// A removed object, kept so that followers learn of the removal and its counters never start over.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub(crate) struct Gone {
-    /// The last version, epoch or life.
+pub(crate) struct Removed {
+    /// Its last version, epoch or run.
     pub last: u64,
-    /// The last renewal's number, of an attendance.
+    /// Number of the last renewal, for an attendance.
     pub number: u64,
     pub index: u64,
 }
 
-/// Kinds of what is named in the register.
+/// Kinds of named objects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub(crate) enum Kind {
+pub(crate) enum ObjectKind {
     Document,
     Attendance,
     Duty,
 }
 
-/// So many names that are no longer there are remembered; a follower that has slept through more gets all anew.
-pub(crate) const GONE_KEPT: usize = 1_024;
+/// Most removed objects that are kept. A follower that missed more of them is sent the whole state.
+pub(crate) const MAX_REMOVED: usize = 1_024;
 
-/// What all agree on.
+/// State agreed on by all gateways.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Register {
+pub struct SharedState {
     pub documents: BTreeMap<String, Document>,
     pub attending: BTreeMap<String, Attendance>,
     pub duties: BTreeMap<String, Duty>,
-    /// Of the last entry applied; at a follower: up to which it is whole.
+    /// Index of the last entry applied; on a follower, the index up to which its state is complete.
     pub index: u64,
     /// Index of the last change of a document.
     pub newest: u64,
-    pub(crate) gone: BTreeMap<(Kind, String), Gone>,
-    /// Highest version, epoch and life among the forgotten of `gone`, and the index up to which some are forgotten.
+    pub(crate) gone: BTreeMap<(ObjectKind, String), Removed>,
+    /// Highest version, epoch and run among removed objects no longer in `gone`, and the index up to which some are
+    /// missing.
     pub(crate) floor: [u64; 3],
     pub(crate) forgotten: u64,
-    /// A follower that is sent all anew knows enough from this index on.
+    /// A follower that is sent the whole state is complete from this index on.
     pub(crate) whole_from: u64,
 }
 
@@ -50,60 +51,60 @@
     Outcome::Done { at }
 }
 
-fn short(what: &str, text: &str, most: usize) -> Result<(), Refused> {
+fn check_length(what: &str, text: &str, most: usize) -> Result<(), Refused> {
     if text.len() <= most { Ok(()) } else { Err(Refused::TooLong { what: what.into(), most }) }
 }
 
-fn room(what: &str, count: usize) -> Result<(), Refused> {
-    if count < COUNT_MOST { Ok(()) } else { Err(Refused::Full { what: what.into(), most: COUNT_MOST }) }
+fn check_count(what: &str, count: usize) -> Result<(), Refused> {
+    if count < MAX_OBJECTS { Ok(()) } else { Err(Refused::Full { what: what.into(), most: MAX_OBJECTS }) }
 }
 
 impl Duty {
-    /// The holder's name, held or not renewed any more.
+    /// Name of the holder, also while the duty is revoked.
     pub fn holder_name(&self) -> Option<&str> {
         self.holder.as_ref().map(|(name, _)| name.as_str())
     }
 
-    fn by(&self) -> By {
+    fn current_epoch(&self) -> By {
         By::Epoch { epoch: self.epoch, holder: self.holder_name().map(Into::into) }
     }
 
-    fn fenced(&self) -> Outcome {
+    fn fenced_outcome(&self) -> Outcome {
         Outcome::Fenced { epoch: self.epoch, holder: self.holder_name().map(Into::into) }
     }
 
-    /// It stands empty from now on; `loses`: against the holder's will.
+    /// Makes the duty vacant. `loses` if against the holder's will.
     fn vacate(&mut self, index: u64, why: Vacated, loses: bool) {
         if let Some((gateway, _)) = self.holder.take()
             && loses
         {
             self.lost.push(Lost { gateway, epoch: self.epoch, index });
-            if self.lost.len() > LOST_KEPT {
+            if self.lost.len() > MAX_LOSSES {
                 self.lost.remove(0);
             }
         }
         (self.standing, self.index, self.waits) = (Standing::Vacant { since: index, why }, index, false);
     }
 
-    fn begin(&mut self, index: u64, to: &str, life: u64) {
-        self.epoch += u64::from(!slips::is(Slip::SameEpoch));
+    fn assign(&mut self, index: u64, to: &str, life: u64) {
+        self.epoch += u64::from(!seeded_faults::is_active(SeededFault::SameEpoch));
         (self.holder, self.standing) = (Some((to.into(), life)), Standing::Held);
         (self.renewal, self.progress, self.waits, self.index) = (0, 0, false, index);
     }
 }
 
-impl Register {
-    /// Applies what was decided at this index. The same at every seat: it reads nothing but the state and the entry.
+impl SharedState {
+    /// Applies the entry decided at this index. Deterministic: depends only on the state and the entry.
     pub fn apply(&mut self, index: u64, entry: &Entry) -> Outcome {
         self.index = index;
-        self.taken(index, entry).unwrap_or_else(Outcome::Refused)
+        self.apply_checked(index, entry).unwrap_or_else(Outcome::Refused)
     }
 
-    fn taken(&mut self, index: u64, entry: &Entry) -> Result<Outcome, Refused> {
+    fn apply_checked(&mut self, index: u64, entry: &Entry) -> Result<Outcome, Refused> {
         match entry {
             Entry::Put { name, expected, body, by, fence } => {
-                short("a document's name", name, NAME_MOST)?;
-                short("the body", body.as_deref().unwrap_or(""), BODY_MOST)?;
+                check_length("a document's name", name, MAX_NAME_BYTES)?;
+                check_length("the body", body.as_deref().unwrap_or(""), MAX_BODY_BYTES)?;
                 self.put(index, name, *expected, body.as_deref(), by, fence.as_ref())
             }
             Entry::Renewals(renewals) => {
@@ -113,35 +114,35 @@
             Entry::Open { duty, scope } => self.open(index, duty, scope),
             Entry::Close { duty, epoch } => {
                 let stands = self.duty(duty)?;
-                let over = stands.epoch != *epoch && !slips::is(Slip::ClosesHeld);
+                let over = stands.epoch != *epoch && !seeded_faults::is_active(SeededFault::ClosesHeld);
                 if over {
-                    return Ok(stands.fenced());
+                    return Ok(stands.fenced_outcome());
                 }
-                let last = if slips::is(Slip::EpochsAnew) { 0 } else { stands.epoch };
+                let last = if seeded_faults::is_active(SeededFault::EpochsAnew) { 0 } else { stands.epoch };
                 self.duties.remove(duty);
-                self.bury(Kind::Duty, duty, Gone { last, number: 0, index });
+                self.record_removal(ObjectKind::Duty, duty, Removed { last, number: 0, index });
                 Ok(done(last))
             }
             Entry::Grant { duty, after_epoch, to } => {
                 let life = self.attending.get(to).map(|attends| attends.life);
                 let stands = self.duty(duty)?;
-                let vacant =
-                    matches!(stands.standing, Standing::Vacant { .. }) || slips::is(Slip::GrantsHeld);
+                let vacant = matches!(stands.standing, Standing::Vacant { .. })
+                    || seeded_faults::is_active(SeededFault::GrantsHeld);
                 if stands.epoch != *after_epoch || !vacant {
-                    return Ok(Outcome::Overtaken { by: stands.by() });
+                    return Ok(Outcome::Overtaken { by: stands.current_epoch() });
                 }
                 let life = life.ok_or_else(|| Refused::NotAttending { gateway: to.clone() })?;
-                stands.begin(index, to, life);
+                stands.assign(index, to, life);
                 Ok(done(stands.epoch))
             }
             Entry::HandOn { duty, epoch, to } => {
                 let life = self.attending.get(to).map(|attends| attends.life);
                 let stands = self.duty(duty)?;
                 if stands.epoch != *epoch || stands.holder.is_none() {
-                    return Ok(stands.fenced());
+                    return Ok(stands.fenced_outcome());
                 }
                 match (life, &stands.standing) {
-                    (Some(life), Standing::Held) => stands.begin(index, to, life),
+                    (Some(life), Standing::Held) => stands.assign(index, to, life),
                     _ => stands.vacate(index, Vacated::GivenBack(GivenBack::Leaves), false),
                 }
                 Ok(done(stands.epoch))
@@ -149,9 +150,9 @@
             Entry::Release { duty, epoch, why } => {
                 let stands = self.duty(duty)?;
                 if stands.epoch != *epoch || stands.holder.is_none() {
-                    return Ok(stands.fenced());
+                    return Ok(stands.fenced_outcome());
                 }
-                // Who gives back what was taken away from it has lost it all the same.
+                // A holder that releases a revoked duty has lost it nonetheless.
                 let (why, loses) = match stands.standing {
                     Standing::Revoked { why } => (Vacated::Revoked(why), true),
                     _ => (Vacated::GivenBack(*why), *why == GivenBack::Unable),
@@ -162,7 +163,7 @@
             Entry::Revoke { duty, epoch, progress, why } => {
                 let stands = self.duty(duty)?;
                 if stands.epoch != *epoch || stands.standing != Standing::Held {
-                    return Ok(Outcome::Overtaken { by: stands.by() });
+                    return Ok(Outcome::Overtaken { by: stands.current_epoch() });
                 }
                 if *why == Revoked::Stalled && stands.progress != *progress {
                     return Ok(Outcome::Overtaken { by: By::Progress { progress: stands.progress } });
@@ -173,9 +174,9 @@
             Entry::Expire { duty, epoch, renewal } => {
                 let stands = self.duty(duty)?;
                 if stands.epoch != *epoch || stands.holder.is_none() {
-                    return Ok(Outcome::Overtaken { by: stands.by() });
+                    return Ok(Outcome::Overtaken { by: stands.current_epoch() });
                 }
-                if stands.renewal != *renewal && !slips::is(Slip::AnyRenewal) {
+                if stands.renewal != *renewal && !seeded_faults::is_active(SeededFault::AnyRenewal) {
                     return Ok(Outcome::Overtaken { by: By::Renewal { renewal: stands.renewal } });
                 }
                 let why = match stands.standing {
@@ -188,10 +189,10 @@
             Entry::Absent { gateway, renewal } => {
                 let attends = self.attending.get(gateway);
                 let attends = attends.ok_or_else(|| Refused::NotAttending { gateway: gateway.clone() })?;
-                if attends.renewal != *renewal && !slips::is(Slip::AnyRenewal) {
+                if attends.renewal != *renewal && !seeded_faults::is_active(SeededFault::AnyRenewal) {
                     return Ok(Outcome::Overtaken { by: By::Renewal { renewal: attends.renewal } });
                 }
-                self.out(index, gateway);
+                self.remove_attendance(index, gateway);
                 Ok(done(index))
             }
         }
@@ -211,26 +212,26 @@
         fence: Option<&Fence>,
     ) -> Result<Outcome, Refused> {
         if let Some(fence) = fence
-            && !slips::is(Slip::AnyWriter)
+            && !seeded_faults::is_active(SeededFault::AnyWriter)
         {
-            // What was taken away writes nothing any more, though its lease may last still.
+            // A revoked holder may not write, even if its lease has not expired yet.
             let stands = self.duty(&fence.duty)?;
             if stands.epoch != fence.epoch || stands.standing != Standing::Held {
-                return Ok(stands.fenced());
+                return Ok(stands.fenced_outcome());
             }
         }
         let stands = self.documents.get(name);
         let version = stands.map_or(0, |document| document.version);
-        if version != expected && !slips::is(Slip::AnyVersion) {
+        if version != expected && !seeded_faults::is_active(SeededFault::AnyVersion) {
             let by = stands.map_or(String::new(), |document| document.by.clone());
             return Ok(Outcome::Overtaken { by: By::Version { version, by } });
         }
         match (body, stands) {
             (Some(body), _) => {
                 if stands.is_none() {
-                    room("documents", self.documents.len())?;
+                    check_count("documents", self.documents.len())?;
                 }
-                let version = version.max(self.exhume(Kind::Document, name)) + 1;
+                let version = version.max(self.take_last_count(ObjectKind::Document, name)) + 1;
                 let (body, by, fence) = (body.into(), by.into(), fence.cloned());
                 let document = Document { version, body, by, fence, index };
                 self.documents.insert(name.into(), document);
@@ -239,7 +240,7 @@
             }
             (None, Some(_)) => {
                 self.documents.remove(name);
-                self.bury(Kind::Document, name, Gone { last: version, number: 0, index });
+                self.record_removal(ObjectKind::Document, name, Removed { last: version, number: 0, index });
                 self.newest = index;
                 Ok(done(version))
             }
@@ -248,13 +249,13 @@
     }
 
     fn open(&mut self, index: u64, name: &str, scope: &Scope) -> Result<Outcome, Refused> {
-        short("a duty's name", name, NAME_MOST)?;
+        check_length("a duty's name", name, MAX_NAME_BYTES)?;
         if let Some(stands) = self.duties.get(name) {
             let same = stands.scope == *scope;
             return same.then(|| done(stands.epoch)).ok_or(Refused::OtherScope { duty: name.into() });
         }
-        room("duties", self.duties.len())?;
-        let epoch = self.exhume(Kind::Duty, name);
+        check_count("duties", self.duties.len())?;
+        let epoch = self.take_last_count(ObjectKind::Duty, name);
         let standing = Standing::Vacant { since: index, why: Vacated::New };
         let (scope, holder, lost) = (scope.clone(), None, Vec::new());
         let duty =
@@ -264,9 +265,9 @@
     }
 
     fn renew(&mut self, index: u64, renewal: &Renewal) -> Renewed {
-        let attends = self.attend(index, renewal);
+        let attends = self.renew_attendance(index, renewal);
         let duties = renewal.duties.iter().map(|work| {
-            let held = attends.clone().and_then(|()| self.work(renewal, work));
+            let held = attends.clone().and_then(|()| self.renew_duty(renewal, work));
             (work.duty.clone(), work.epoch, held)
         });
         let duties = duties.collect();
@@ -279,19 +280,19 @@
         }
     }
 
-    fn attend(&mut self, index: u64, renewal: &Renewal) -> Result<(), Refused> {
+    fn renew_attendance(&mut self, index: u64, renewal: &Renewal) -> Result<(), Refused> {
         let name = &renewal.gateway;
-        short("a gateway's name", name, NAME_MOST)?;
-        short("a zone's name", &renewal.zone, NAME_MOST)?;
+        check_length("a gateway's name", name, MAX_NAME_BYTES)?;
+        check_length("a zone's name", &renewal.zone, MAX_NAME_BYTES)?;
         let said = renewal.says.iter().map(|(key, value)| key.len() + value.len()).sum::<usize>();
-        if said > SAYS_MOST {
-            return Err(Refused::TooLong { what: "what a gateway says".into(), most: SAYS_MOST });
+        if said > MAX_REPORT_BYTES {
+            return Err(Refused::TooLong { what: "what a gateway says".into(), most: MAX_REPORT_BYTES });
         }
         let newest = self.newest;
         let stands = self.attending.get(name);
         match stands {
-            // The earlier life may still act by what it was told, until its attendance has run out.
-            Some(stands) if stands.life < renewal.life && !slips::is(Slip::AnyLife) => {
+            // The earlier run may still act by the documents it knew, until its attendance has expired.
+            Some(stands) if stands.life < renewal.life && !seeded_faults::is_active(SeededFault::AnyLife) => {
                 return Err(Refused::EarlierStays { known: stands.life });
             }
             Some(stands) if stands.life > renewal.life => {
@@ -300,13 +301,13 @@
             Some(stands)
                 if stands.life == renewal.life
                     && stands.number >= renewal.number
-                    && !slips::is(Slip::OlderWords) =>
+                    && !seeded_faults::is_active(SeededFault::OlderWords) =>
             {
                 return Err(Refused::NewerRenewal { known: stands.number });
             }
             Some(_) => {}
             None => {
-                let gone = self.gone.get(&(Kind::Attendance, name.clone()));
+                let gone = self.gone.get(&(ObjectKind::Attendance, name.clone()));
                 let (life, number) = gone.map_or((0, 0), |gone| (gone.last, gone.number));
                 if life > renewal.life {
                     return Err(Refused::LaterLife { known: life });
@@ -314,12 +315,12 @@
                 if life == renewal.life && number >= renewal.number {
                     return Err(Refused::NewerRenewal { known: number });
                 }
-                // Otherwise a document that binds would cease to.
-                if renewal.taken < newest && !slips::is(Slip::AttendsBehind) {
+                // Otherwise a document adopted by all would no longer be.
+                if renewal.taken < newest && !seeded_faults::is_active(SeededFault::AttendsBehind) {
                     return Err(Refused::Behind { newest });
                 }
-                room("attendances", self.attending.len())?;
-                self.exhume(Kind::Attendance, name);
+                check_count("attendances", self.attending.len())?;
+                self.take_last_count(ObjectKind::Attendance, name);
             }
         }
         let mut next = Attendance {
@@ -335,7 +336,7 @@
         };
         if let Some(stands) = self.attending.get(name) {
             next.taken = next.taken.max(stands.taken);
-            // Followers are told only of what has changed in more than its counts.
+            // Followers are sent only changes other than of counters.
             let counts = Attendance {
                 number: next.number,
                 renewal: next.renewal,
@@ -350,16 +351,17 @@
         Ok(())
     }
 
-    fn work(&mut self, renewal: &Renewal, work: &Work) -> Result<(), Refused> {
+    fn renew_duty(&mut self, renewal: &Renewal, work: &Work) -> Result<(), Refused> {
         let stands = self.duty(&work.duty)?;
         let holds = stands.holder.as_ref().is_some_and(|(name, life)| {
-            *name == renewal.gateway && (*life == renewal.life || slips::is(Slip::AnyLife))
+            *name == renewal.gateway
+                && (*life == renewal.life || seeded_faults::is_active(SeededFault::AnyLife))
         });
-        if !holds || (stands.epoch != work.epoch && !slips::is(Slip::OldEpoch)) {
+        if !holds || (stands.epoch != work.epoch && !seeded_faults::is_active(SeededFault::OldEpoch)) {
             return Err(Refused::NotHolder { duty: work.duty.clone(), epoch: stands.epoch });
         }
         if let Standing::Revoked { why } = stands.standing
-            && !slips::is(Slip::RenewsRevoked)
+            && !seeded_faults::is_active(SeededFault::RenewsRevoked)
         {
             return Err(Refused::TakenAway { duty: work.duty.clone(), why });
         }
@@ -370,7 +372,7 @@
     fn leave(&mut self, index: u64, gateway: &str, life: u64) -> Outcome {
         match self.attending.get(gateway) {
             Some(stands) if stands.life == life => {
-                self.out(index, gateway);
+                self.remove_attendance(index, gateway);
                 let holds = |duty: &&mut Duty| {
                     duty.holder.as_ref().is_some_and(|(name, its)| name == gateway && *its == life)
                 };
@@ -384,17 +386,18 @@
         }
     }
 
-    fn out(&mut self, index: u64, gateway: &str) {
+    fn remove_attendance(&mut self, index: u64, gateway: &str) {
         if let Some(stands) = self.attending.remove(gateway) {
-            let gone = Gone { last: stands.life, number: stands.number, index };
-            self.bury(Kind::Attendance, gateway, gone);
+            let gone = Removed { last: stands.life, number: stands.number, index };
+            self.record_removal(ObjectKind::Attendance, gateway, gone);
         }
     }
 
-    /// Remembers what is no longer there; the oldest are forgotten, and their highest counts become the floor of all.
-    pub(crate) fn bury(&mut self, kind: Kind, name: &str, gone: Gone) {
+    /// Records a removed object. The oldest records are dropped, and their highest counters become the floor for all
+    /// names.
+    pub(crate) fn record_removal(&mut self, kind: ObjectKind, name: &str, gone: Removed) {
         self.gone.insert((kind, name.into()), gone);
-        while self.gone.len() > GONE_KEPT {
+        while self.gone.len() > MAX_REMOVED {
             let oldest = self.gone.iter().min_by_key(|(_, gone)| gone.index).map(|(key, _)| key.clone());
             let Some(oldest) = oldest else { return };
             if let Some(gone) = self.gone.remove(&oldest) {
@@ -405,35 +408,35 @@
         }
     }
 
-    /// The count at which something of this name goes on.
-    fn exhume(&mut self, kind: Kind, name: &str) -> u64 {
+    /// Takes the last counter of a removed object, from which a new one of this name continues.
+    fn take_last_count(&mut self, kind: ObjectKind, name: &str) -> u64 {
         let last = self.gone.remove(&(kind, name.into())).map(|gone| gone.last);
         last.unwrap_or(self.floor[kind as usize])
     }
 
-    /// Whether this version of a document is the newest and every attending gateway acts by it. It stays so until another
-    /// version is decided, for nobody attends anew without having taken it up.
-    pub fn binds(&self, name: &str, version: u64) -> bool {
-        self.is_whole()
+    /// Whether this version of a document is the newest and was adopted by every attending gateway. It stays so until
+    /// another version is decided, since a gateway must adopt it before it attends.
+    pub fn is_binding(&self, name: &str, version: u64) -> bool {
+        self.is_complete()
             && self.documents.get(name).is_some_and(|document| {
                 document.version == version
                     && self.attending.values().all(|attends| attends.taken >= document.index)
             })
     }
 
-    /// Who has not taken up the newest version of a document.
-    pub fn lags(&self, name: &str) -> Vec<&str> {
+    /// Gateways that have not adopted the newest version of a document.
+    pub fn lagging_gateways(&self, name: &str) -> Vec<&str> {
         let Some(document) = self.documents.get(name) else { return Vec::new() };
         let lag = self.attending.iter().filter(|(_, attends)| attends.taken < document.index);
         lag.map(|(name, _)| name.as_str()).collect()
     }
 
-    /// Whether a follower has had all that there was when it began: nothing is to be decided by less.
-    pub fn is_whole(&self) -> bool {
+    /// Whether a follower has received the complete state; nothing may be decided by an incomplete one.
+    pub fn is_complete(&self) -> bool {
         self.index > 0 && self.index >= self.whole_from
     }
 
-    /// Duties that this life of a gateway holds, with their epochs.
+    /// Duties held by this run of a gateway, with their epochs.
     pub fn held_by(&self, gateway: &str, life: u64) -> impl Iterator<Item = (&str, u64)> {
         let holds = move |duty: &Duty| {
             duty.standing == Standing::Held
--- a/crates/duties/src/changes.rs
+++ b/crates/duties/src/state_changes.rs
@@ -1,17 +1,17 @@
-//! What followers are sent of the register.
+//! Incremental changes of the shared state, sent to followers.
 
 use serde::{Deserialize, Serialize};
 
-use crate::entry::{Attendance, Document, Duty};
-use crate::register::{Gone, Kind, Register};
+use crate::entries::{Attendance, Document, Duty};
+use crate::shared_state::{ObjectKind, Removed, SharedState};
 
-/// A part of the register that has changed.
+/// A change of the shared state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change(Part);
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum Part {
-    /// Forget all: it follows anew, and is enough from this index on.
+    /// Resets the follower's state, which is complete again from index `upto` on.
     Anew {
         upto: u64,
         floor: [u64; 3],
@@ -21,20 +21,20 @@
     Document(String, Document),
     Attendance(String, Attendance),
     Duty(String, Duty),
-    Gone(Kind, String, Gone),
-    /// Whole up to here; the last change of a document was at `newest`.
+    Gone(ObjectKind, String, Removed),
+    /// The state is complete up to `index`; the last change of a document was at `newest`.
     Upto {
         index: u64,
         newest: u64,
     },
 }
 
-impl Register {
-    /// What changed after the index `since`, oldest first, in about `most_bytes` at most; what one index changed is never
-    /// divided, so that whoever takes it is whole up to [`Register::index`] as it then has it. 0: all.
-    pub fn changes(&self, since: u64, most_bytes: usize) -> Vec<Change> {
+impl SharedState {
+    /// The changes after index `since` (0: everything), oldest first, in at most about `most_bytes`. Changes of one
+    /// index are never split, so the receiver is complete up to the [`SharedState::index`] that it then has.
+    pub fn changes_since(&self, since: u64, most_bytes: usize) -> Vec<Change> {
         if since > self.index {
-            return Vec::new(); // It knows more than this one.
+            return Vec::new(); // The follower is ahead of this state.
         }
         let anew = since == 0 || since < self.forgotten;
         let since = if anew { 0 } else { since };
@@ -64,7 +64,7 @@
         }
         let (mut size, mut last, mut cut) = (60 * usize::from(anew), 0, None);
         for (index, part_size, part) in parts {
-            // Cut only where another index begins.
+            // Splits only between indices.
             if size + part_size > most_bytes && index != last && last != 0 {
                 cut = Some(last);
                 break;
@@ -77,31 +77,31 @@
         changes
     }
 
-    /// Takes what another register had to send, in order.
-    pub fn take(&mut self, change: &Change) {
+    /// Applies a change sent by another member. Changes must be applied in order.
+    pub fn apply_change(&mut self, change: &Change) {
         match change.0.clone() {
             Part::Anew { upto, floor, forgotten, newest: _ } => {
-                *self = Register { whole_from: upto, floor, forgotten, ..Register::default() };
+                *self = SharedState { whole_from: upto, floor, forgotten, ..SharedState::default() };
             }
             Part::Document(name, document) => {
-                self.gone.remove(&(Kind::Document, name.clone()));
+                self.gone.remove(&(ObjectKind::Document, name.clone()));
                 self.documents.insert(name, document);
             }
             Part::Attendance(name, attends) => {
-                self.gone.remove(&(Kind::Attendance, name.clone()));
+                self.gone.remove(&(ObjectKind::Attendance, name.clone()));
                 self.attending.insert(name, attends);
             }
             Part::Duty(name, duty) => {
-                self.gone.remove(&(Kind::Duty, name.clone()));
+                self.gone.remove(&(ObjectKind::Duty, name.clone()));
                 self.duties.insert(name, duty);
             }
             Part::Gone(kind, name, gone) => {
                 match kind {
-                    Kind::Document => drop(self.documents.remove(&name)),
-                    Kind::Attendance => drop(self.attending.remove(&name)),
-                    Kind::Duty => drop(self.duties.remove(&name)),
+                    ObjectKind::Document => drop(self.documents.remove(&name)),
+                    ObjectKind::Attendance => drop(self.attending.remove(&name)),
+                    ObjectKind::Duty => drop(self.duties.remove(&name)),
                 }
-                self.bury(kind, &name, gone);
+                self.record_removal(kind, &name, gone);
             }
             Part::Upto { index, newest } => {
                 self.index = index;
--- a/crates/duties/src/machine.rs
+++ b/crates/duties/src/state_machine.rs
@@ -1,18 +1,18 @@
-//! The register as what the council replicates.
+//! Implements the replicated state machine for [`SharedState`].
 
 use tansyjunction_council::Machine;
 
-use crate::changes::Change;
-use crate::entry::{Entry, Outcome};
-use crate::register::Register;
+use crate::entries::{Entry, Outcome};
+use crate::shared_state::SharedState;
+use crate::state_changes::Change;
 
-impl Machine for Register {
+impl Machine for SharedState {
     type Entry = Entry;
     type Outcome = Outcome;
     type Change = Change;
 
     fn apply(&mut self, index: u64, entry: &Entry) -> Outcome {
-        Register::apply(self, index, entry)
+        SharedState::apply(self, index, entry)
     }
 
     fn whole(&self) -> u64 {
@@ -20,10 +20,10 @@
     }
 
     fn changes(&self, since: u64, most_bytes: usize) -> Vec<Change> {
-        Register::changes(self, since, most_bytes)
+        SharedState::changes_since(self, since, most_bytes)
     }
 
     fn take(&mut self, change: &Change) {
-        Register::take(self, change);
+        SharedState::apply_change(self, change);
     }
 }
--- a/crates/duties/tests/duties/conductor.rs
+++ b/crates/duties/tests/duties/conductor.rs
@@ -1,8 +1,8 @@
-//! A change of primary over all interleavings of a small world: two gateways that conduct it in turn, the earlier one perhaps
-//! not knowing that it is over, a store whose answers may be lost, an operator who calls it off.
+//! Model check of a change of primary: two gateways conduct it in turn, the earlier one may not know that its term is
+//! over; the store's answers may be lost, and an operator may abort.
 
 use stateright::{Checker, HasDiscoveries, Model, Property};
-use tansyjunction_duties::slips::{self, Slip};
+use tansyjunction_duties::seeded_faults::{self, SeededFault};
 use tansyjunction_duties::*;
 
 const NAMES: [&str; 2] = ["n0", "n1"];
@@ -17,25 +17,25 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Conductor {
-    copy: Register,
+    copy: SharedState,
     stopped: u64,
-    /// The epoch that these are of, what the store said under it, and whether it was told.
+    /// Epoch of the following: the store's answer under it, and whether the store was told.
     epoch: u64,
-    told: Option<(String, Switched)>,
+    told: Option<(String, SwitchResult)>,
     telling: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     left: Left,
-    agreed: Register,
+    agreed: SharedState,
     conductors: Vec<Conductor>,
     flying: Vec<(usize, Entry)>,
     statements: Vec<(usize, Switch)>,
-    answers: Vec<(usize, Switch, Switched)>,
+    answers: Vec<(usize, Switch, SwitchResult)>,
     drained: [bool; 2],
     primary: String,
-    fences: Fences,
+    fences: EpochFence,
     undrained: bool,
     order: Vec<u64>,
 }
@@ -54,7 +54,7 @@
 }
 
 struct Small {
-    slip: Option<Slip>,
+    slip: Option<SeededFault>,
     left: Left,
 }
 
@@ -62,7 +62,7 @@
     fn new(left: Left) -> World {
         let (conductors, flying) = (vec![Conductor::default(); 2], Vec::new());
         let (statements, answers, order) = Default::default();
-        let (agreed, fences, primary) = (Register::default(), Fences::default(), "a".to_string());
+        let (agreed, fences, primary) = (SharedState::default(), EpochFence::default(), "a".to_string());
         let drained = [false; 2];
         let mut world = World {
             left,
@@ -79,11 +79,11 @@
         };
         (0..2).for_each(|g| world.say(g, None));
         world.apply(&Plan::announce(&world.agreed, 0, ["a", "b"], "new disks", "op").expect("no other"));
-        world.apply(&Entry::Open { duty: duty_of(0), scope: Scope::Shard(0) });
-        world.apply(&Entry::Grant { duty: duty_of(0), after_epoch: 0, to: "n0".into() });
+        world.apply(&Entry::Open { duty: conductor_duty_of(0), scope: Scope::Shard(0) });
+        world.apply(&Entry::Grant { duty: conductor_duty_of(0), after_epoch: 0, to: "n0".into() });
         world.drained[0] = true;
         let number = world.plan().number;
-        world.say(0, Some(Word::Drained { number }));
+        world.say(0, Some(ShardReport::Drained { number }));
         (0..2).for_each(|c| world.fetch(c));
         world
     }
@@ -91,7 +91,7 @@
     fn apply(&mut self, entry: &Entry) {
         let mut next = self.agreed.clone();
         let outcome = next.apply(next.index + 1, entry);
-        // What is refused changes nothing but the index: the same world.
+        // A rejected entry changes only the index, so the state is the same.
         if matches!(outcome, Outcome::Done { .. } | Outcome::Renewed(_)) {
             self.agreed = next;
         }
@@ -105,9 +105,9 @@
         steps.contains(&self.plan().step)
     }
 
-    fn say(&mut self, g: usize, word: Option<Word>) {
+    fn say(&mut self, g: usize, word: Option<ShardReport>) {
         let number = self.agreed.attending.get(NAMES[g]).map_or(0, |attends| attends.number) + 1;
-        let says = word.iter().map(|word| word.said(0)).collect();
+        let says = word.iter().map(|word| word.to_entry(0)).collect();
         let (gateway, taken) = (NAMES[g].into(), self.agreed.newest);
         let renewal = Renewal { gateway, life: 1, number, taken, room: 9, says, ..Renewal::default() };
         self.apply(&Entry::Renewals(vec![renewal]));
@@ -115,28 +115,34 @@
 
     fn fetch(&mut self, c: usize) {
         let copy = &mut self.conductors[c].copy;
-        self.agreed.changes(copy.index, 10_000).iter().for_each(|change| copy.take(change));
+        self.agreed.changes_since(copy.index, 10_000).iter().for_each(|change| copy.apply_change(change));
     }
 
-    /// The duty goes to the other one; the one that had it may not hear of it for long.
+    /// The duty goes to the other gateway; the previous holder may learn of it much later.
     fn moves(&mut self) {
-        let Some(duty) = self.agreed.duties.get(&duty_of(0)).cloned() else { return };
+        let Some(duty) = self.agreed.duties.get(&conductor_duty_of(0)).cloned() else { return };
         let Some((holder, _)) = duty.holder else { return };
-        let (name, epoch) = (duty_of(0), duty.epoch);
+        let (name, epoch) = (conductor_duty_of(0), duty.epoch);
         self.apply(&Entry::Expire { duty: name.clone(), epoch, renewal: duty.renewal });
         let to = NAMES[usize::from(holder == NAMES[0])].into();
         self.apply(&Entry::Grant { duty: name, after_epoch: epoch, to });
     }
 
-    fn next(&self, c: usize, late: bool) -> Option<(u64, Next)> {
+    fn next(&self, c: usize, late: bool) -> Option<(u64, ConductorAction)> {
         let conductor = &self.conductors[c];
         let held = conductor.copy.held_by(NAMES[c], 1).next().map(|(_, epoch)| epoch);
         let epoch = held.filter(|epoch| *epoch > conductor.stopped)?;
         let mine = conductor.epoch == epoch;
         let told = conductor.told.clone().filter(|_| mine);
         let telling = conductor.telling && mine;
-        let seen = Seen { step_for: u64::from(late), switch_for: 1, target_lost: false, told, telling };
-        Some((epoch, conduct(&conductor.copy, 0, NAMES[c], epoch, &seen)))
+        let seen = ConductorView {
+            step_for: u64::from(late),
+            step_timeout: 1,
+            target_lost: false,
+            switch_result: told,
+            switch_pending: telling,
+        };
+        Some((epoch, next_action(&conductor.copy, 0, NAMES[c], epoch, &seen)))
     }
 
     fn conduct(&mut self, c: usize, late: bool) -> Option<()> {
@@ -146,23 +152,23 @@
             (conductor.epoch, conductor.told, conductor.telling) = (epoch, None, false);
         }
         let entry = match next {
-            Next::Nothing | Next::Wait(_) => return None,
-            Next::Propose(entry) => entry,
-            Next::Tell(switch) => {
+            ConductorAction::Nothing | ConductorAction::Wait(_) => return None,
+            ConductorAction::Propose(entry) => entry,
+            ConductorAction::SendSwitch(switch) => {
                 conductor.telling = true;
                 self.statements.push((c, switch));
                 return Some(());
             }
-            Next::Release(why) => {
+            ConductorAction::Release(why) => {
                 conductor.stopped = epoch;
-                Entry::Release { duty: duty_of(0), epoch, why }
+                Entry::Release { duty: conductor_duty_of(0), epoch, why }
             }
-            Next::Close(entry) => {
+            ConductorAction::Close(entry) => {
                 conductor.stopped = epoch;
                 entry
             }
         };
-        // One proposal of each at a time.
+        // One proposal per gateway at a time.
         (self.flying.iter().all(|(by, _)| *by != c)).then(|| self.flying.push((c, entry)))
     }
 
@@ -170,14 +176,14 @@
         let (c, switch, answer) = self.answers.remove(i);
         let conductor = &mut self.conductors[c];
         if conductor.epoch == switch.epoch {
-            let answer = if lost { Switched::Unknown } else { answer };
+            let answer = if lost { SwitchResult::Unknown } else { answer };
             (conductor.told, conductor.telling) = (Some((switch.to, answer)), false);
         }
     }
 }
 
 impl Small {
-    fn new(slip: Option<Slip>, [moves, lates, offs, losses]: [u8; 4]) -> Small {
+    fn new(slip: Option<SeededFault>, [moves, lates, offs, losses]: [u8; 4]) -> Small {
         Small { slip, left: Left { moves, lates, offs, losses } }
     }
 }
@@ -197,13 +203,13 @@
         acts.extend((0..world.answers.len()).flat_map(|i| [Act::Hear(i), Act::Lose(i)]));
         for c in 0..2 {
             acts.extend([Act::Conduct(c, false), Act::Conduct(c, true), Act::Say(c)]);
-            let news = world.agreed.changes(world.conductors[c].copy.index, 10_000).len() > 1;
+            let news = world.agreed.changes_since(world.conductors[c].copy.index, 10_000).len() > 1;
             acts.extend(news.then_some(Act::Fetch(c)));
         }
     }
 
     fn next_state(&self, world: &World, act: Act) -> Option<World> {
-        slips::with(self.slip, || {
+        seeded_faults::with_fault(self.slip, || {
             let mut next = world.clone();
             match act {
                 Act::Conduct(c, late) => {
@@ -219,14 +225,14 @@
                 Act::Fetch(c) => next.fetch(c),
                 Act::Store(i) => {
                     let (c, switch) = next.statements.remove(i);
-                    let answer = match next.fences.admit("0", switch.epoch) {
+                    let answer = match next.fences.check("0", switch.epoch) {
                         Ok(()) => {
                             next.undrained |= switch.to == "b" && next.drained != [true; 2];
                             next.primary.clone_from(&switch.to);
                             next.order.push(switch.epoch);
-                            Switched::Yes
+                            SwitchResult::Confirmed
                         }
-                        Err(_) => Switched::Fenced,
+                        Err(_) => SwitchResult::Fenced,
                     };
                     next.answers.push((c, switch, answer));
                 }
@@ -238,12 +244,12 @@
                 Act::Say(g) => {
                     let plan = next.plan();
                     let word = match plan.step {
-                        Step::Announced => Word::Drained { number: plan.number },
-                        Step::Switched if next.primary == "b" => Word::Leads { server: "b".into() },
+                        Step::Announced => ShardReport::Drained { number: plan.number },
+                        Step::Switched if next.primary == "b" => ShardReport::Leads { server: "b".into() },
                         _ => return None,
                     };
-                    let (key, value) = word.said(0);
-                    // Always in the same order.
+                    let (key, value) = word.to_entry(0);
+                    // In a fixed order.
                     (g == 0 || next.agreed.attending[NAMES[0]].says.get(&key) == Some(&value))
                         .then_some(())?;
                     let said = next.agreed.attending[NAMES[g]].says.get(&key) == Some(&value);
@@ -257,16 +263,16 @@
                 }
                 Act::CallOff => {
                     next.left.offs = next.left.offs.checked_sub(1)?;
-                    let entry = Plan::call_off(&next.agreed, 0, "not today", "op")?;
+                    let entry = Plan::abort(&next.agreed, 0, "not today", "op")?;
                     next.flying.push((2, entry));
                 }
             }
-            // A vacant duty of a plan that is under way is granted again.
+            // A vacant duty of a plan in progress is granted again.
             let vacant = |duty: &Duty| matches!(duty.standing, Standing::Vacant { .. }).then_some(duty.epoch);
-            let vacant = next.agreed.duties.get(&duty_of(0)).and_then(vacant);
-            if let Some(after_epoch) = vacant.filter(|_| !next.plan().over()) {
+            let vacant = next.agreed.duties.get(&conductor_duty_of(0)).and_then(vacant);
+            if let Some(after_epoch) = vacant.filter(|_| !next.plan().is_finished()) {
                 let to = NAMES[(after_epoch % 2) as usize].into();
-                next.apply(&Entry::Grant { duty: duty_of(0), after_epoch, to });
+                next.apply(&Entry::Grant { duty: conductor_duty_of(0), after_epoch, to });
             }
             Some(next)
         })
@@ -316,10 +322,10 @@
 #[test]
 fn each_mistake_in_conducting_is_found() {
     for (slip, left, found) in [
-        (Slip::Undrained, [0, 0, 0, 0], "no switch before all have drained"),
-        (Slip::TakesForDone, [1, 0, 0, 0], "what is told done is done"),
-        (Slip::AbortsAtOnce, [1, 0, 1, 0], "what was called off stays"),
-        (Slip::NoFence, [1, 0, 1, 0], "the store acts in order of epochs"),
+        (SeededFault::Undrained, [0, 0, 0, 0], "no switch before all have drained"),
+        (SeededFault::TakesForDone, [1, 0, 0, 0], "what is told done is done"),
+        (SeededFault::AbortsAtOnce, [1, 0, 1, 0], "what was called off stays"),
+        (SeededFault::NoFence, [1, 0, 1, 0], "the store acts in order of epochs"),
     ] {
         let checker = search(Small::new(Some(slip), left));
         let broken: Vec<&str> = checker.discoveries().into_keys().collect();
--- a/crates/duties/tests/duties/leases.rs
+++ b/crates/duties/tests/duties/leases.rs
@@ -1,29 +1,29 @@
-//! Leases over all interleavings of a small world: gateways with clocks that run slow, a seat with one that runs fast and
-//! that lags, proposals, answers and effects that come late or never, restarts; with the code that serves.
+//! Model check of leases with the production code: gateways with slow clocks, a member with a fast clock that lags
+//! behind, and proposals, answers and effects that are delayed or lost, with restarts.
 
 use stateright::{Checker, HasDiscoveries, Model, Property};
-use tansyjunction_duties::slips::{self, Slip};
+use tansyjunction_duties::seeded_faults::{self, SeededFault};
 use tansyjunction_duties::*;
 
 const START: Micros = 1_000_000_000;
-/// By the clocks of the gateways (the third is another process under the first one's name) and of the seat, a second of true
-/// time; the first is as slow and the seat's as fast as the terms allow.
+/// Microseconds per second of true time on the clocks of the gateways (the third is another process of the first one's
+/// name) and of the member. The first is as slow, and the member's as fast, as the drift limit allows.
 const RATES: [Micros; 3] = [900_000, 1_000_000, 900_000];
 const SEAT_RATE: Micros = 1_100_000;
 const NAMES: [&str; 3] = ["n0", "n1", "n0"];
 const DUTY: &str = "sweep";
 
-/// A mistake that the check must find: of the code, or of its host.
+/// A seeded fault that the check must find: in the code or in its host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mistake {
-    Code(Slip),
-    /// The place of effects does not keep its fences across a restart.
+    Code(SeededFault),
+    /// Fencing epochs are lost in a restart of the store.
     Forgets,
-    /// The seat reads its clock before it applies what came.
+    /// The member reads its clock before it applies entries.
     OldReading,
 }
 
-/// What may still happen, so many times.
+/// Remaining numbers of events.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Left {
     ticks: u8,
@@ -38,36 +38,36 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Process {
-    holder: Holder,
-    copy: Register,
+    holder: LeaseHolder,
+    copy: SharedState,
     left: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    /// In halves of a second.
+    /// Time in half seconds.
     tick: u64,
     left: Left,
-    agreed: Register,
-    /// Proposals under way, and who asked.
+    agreed: SharedState,
+    /// Proposals in transit and their origins.
     flying: Vec<(Option<usize>, Entry)>,
     answers: Vec<(usize, Outcome)>,
     processes: Vec<Process>,
-    grantor: Grantor,
-    seat: Register,
-    /// Decided, not yet applied by the seat.
+    grantor: LeaseGrantor,
+    seat: SharedState,
+    /// Decided entries not yet applied by the member.
     ahead: Vec<(u64, Entry)>,
-    /// The seat has just started; when it last read its clock before it applied something.
+    /// Whether the member has just started; when it last read its clock before applying an entry.
     fresh: bool,
     read: u64,
     effects: Vec<(usize, u64)>,
-    fences: Fences,
+    fences: EpochFence,
     executed: Vec<(usize, u64)>,
     refused: bool,
     void: bool,
-    /// The version of the document that has once been binding.
+    /// Version of the document that was binding.
     bound: u64,
-    /// Highest epoch there was; and something happened that never may.
+    /// Highest epoch so far; and violations observed.
     highest: u64,
     shrank: bool,
     renewed_revoked: bool,
@@ -99,9 +99,9 @@
 struct Small {
     mistake: Option<Mistake>,
     processes: usize,
-    /// Halves of a second of true time that a tick lasts.
+    /// True time per tick in half seconds.
     pace: u64,
-    /// The seat applies what was decided some time later.
+    /// Whether the member applies entries with delay.
     lags: bool,
     left: Left,
 }
@@ -122,15 +122,15 @@
             .filter_map(|(p, process)| Some((p, process.holder.may_act(self.now(p), DUTY)?)))
     }
 
-    fn version(register: &Register) -> u64 {
+    fn version(register: &SharedState) -> u64 {
         register.documents.get("d").map_or(0, |document| document.version)
     }
 
     fn ask(&mut self, p: usize) {
         let now = self.now(p);
         let Process { holder, copy, .. } = &mut self.processes[p];
-        let own = Own { taken: copy.newest, zone: "a".into(), room: 9, ..Own::default() };
-        let renewal = holder.ask(now, copy, own);
+        let own = GatewayReport { taken: copy.newest, zone: "a".into(), room: 9, ..GatewayReport::default() };
+        let renewal = holder.create_renewal(now, copy, own);
         self.flying.push((Some(p), Entry::Renewals(vec![renewal])));
     }
 
@@ -147,7 +147,7 @@
         (self.shrank, self.highest) = (self.shrank | (epoch < self.highest), epoch.max(self.highest));
         self.void |= matches!(outcome, Outcome::Overtaken { by: By::Renewal { .. } });
         let version = World::version(&self.agreed);
-        if self.agreed.binds("d", version) {
+        if self.agreed.is_binding("d", version) {
             self.bound = version;
         }
         self.ahead.push((index, entry));
@@ -156,21 +156,21 @@
         }
     }
 
-    /// The seat takes what was decided.
+    /// The member applies decided entries.
     fn apply(&mut self, old_reading: bool) {
         for (index, entry) in std::mem::take(&mut self.ahead) {
             self.seat.apply(index, &entry);
             let now = if old_reading { START + self.read * SEAT_RATE / 2 } else { self.seat_now() };
-            self.grantor.applied(now, &self.seat, &entry);
+            self.grantor.on_applied(now, &self.seat, &entry);
         }
         self.read = self.tick;
     }
 
-    fn due(&self) -> (Grantor, Vec<Entry>) {
+    fn due(&self) -> (LeaseGrantor, Vec<Entry>) {
         let mut grantor = self.grantor.clone();
-        let evidence = Evidence { leads: true, ..Evidence::default() };
-        let mut entries = grantor.due(self.seat_now(), &self.seat, &evidence);
-        // Worlds with documents are about attendance, the others about the duty.
+        let evidence = ElectionEvidence { is_leader: true, ..ElectionEvidence::default() };
+        let mut entries = grantor.due_proposals(self.seat_now(), &self.seat, &evidence);
+        // Models with documents check attendance, the others the duty.
         let documents = self.processes.len() > 2;
         entries.retain(|entry| matches!(entry, Entry::Absent { .. }) == documents);
         (grantor, entries)
@@ -178,49 +178,49 @@
 
     fn fetch(&mut self, p: usize) {
         let copy = &mut self.processes[p].copy;
-        self.agreed.changes(copy.index, 10_000).iter().for_each(|change| copy.take(change));
+        self.agreed.changes_since(copy.index, 10_000).iter().for_each(|change| copy.apply_change(change));
     }
 }
 
 impl Small {
     fn with<T>(&self, does: impl FnOnce() -> T) -> T {
         match self.mistake {
-            Some(Mistake::Code(slip)) => slips::with(Some(slip), does),
+            Some(Mistake::Code(slip)) => seeded_faults::with_fault(Some(slip), does),
             _ => does(),
         }
     }
 
-    fn terms() -> Terms {
-        Terms {
+    fn terms() -> LeaseConfig {
+        LeaseConfig {
             lease: 2_000_000,
             drift: 100_000,
             margin: 0,
-            attend_every: 2_000_000,
-            stand_by: 0,
-            again: 9_000_000,
-            ..Terms::default()
+            renew_interval: 2_000_000,
+            standby_delay: 0,
+            retry_interval: 9_000_000,
+            ..LeaseConfig::default()
         }
     }
 
     fn begin(&self) -> World {
         let new = |p: usize| {
-            let holder = Holder::new(NAMES[p], 1 + p as u64 / 2, Small::terms());
-            Process { holder, copy: Register::default(), left: false }
+            let holder = LeaseHolder::new(NAMES[p], 1 + p as u64 / 2, Small::terms());
+            Process { holder, copy: SharedState::default(), left: false }
         };
         let mut world = World {
             tick: 0,
             left: self.left,
-            agreed: Register::default(),
+            agreed: SharedState::default(),
             flying: Vec::new(),
             answers: Vec::new(),
             processes: (0..self.processes).map(new).collect(),
-            grantor: Grantor::new(Small::terms()),
-            seat: Register::default(),
+            grantor: LeaseGrantor::new(Small::terms()),
+            seat: SharedState::default(),
             ahead: Vec::new(),
             fresh: false,
             read: 0,
             effects: Vec::new(),
-            fences: Fences::default(),
+            fences: EpochFence::default(),
             executed: Vec::new(),
             refused: false,
             void: false,
@@ -248,14 +248,14 @@
         }
         world.apply(false);
         for (p, outcome) in std::mem::take(&mut world.answers) {
-            world.processes[p].holder.decided(START, &outcome);
+            world.processes[p].holder.on_outcome(START, &outcome);
         }
         world.void = false;
         world
     }
 }
 
-/// One of what is left, if any is.
+/// Uses up one of the remaining events, if there is one.
 fn spend(count: &mut u8) -> Option<()> {
     *count = count.checked_sub(1)?;
     Some(())
@@ -266,7 +266,7 @@
     type Action = Act;
 
     fn init_states(&self) -> Vec<World> {
-        vec![slips::with(None, || self.begin())]
+        vec![seeded_faults::with_fault(None, || self.begin())]
     }
 
     fn actions(&self, world: &World, acts: &mut Vec<Act>) {
@@ -279,13 +279,13 @@
             acts.extend((!world.ahead.is_empty()).then_some(Act::Apply));
             acts.extend((world.fresh || !world.due().1.is_empty()).then_some(Act::Sweep));
             for (p, name) in NAMES.into_iter().enumerate().take(self.processes) {
-                // Who holds nothing asks only where attendance matters.
+                // A gateway without a duty renews only where attendance matters.
                 let holds = |duty: &Duty| duty.holder_name() == Some(name);
                 let asks = (self.processes > 2 && p != 1)
                     || world.processes[p].copy.duties.get(DUTY).is_some_and(holds);
                 acts.extend((asks && !world.processes[p].left).then_some(Act::Ask(p)));
                 acts.extend([Act::HandOn(p), Act::Leave(p), Act::Close(p)]);
-                let news = world.agreed.changes(world.processes[p].copy.index, 10_000).len() > 1;
+                let news = world.agreed.changes_since(world.processes[p].copy.index, 10_000).len() > 1;
                 acts.extend((news && (asks || self.processes == 2)).then_some(Act::Fetch(p)));
                 let acting = world.processes[p].holder.may_act(world.now(p), DUTY).is_some();
                 acts.extend(acting.then_some(Act::Do(p)));
@@ -316,7 +316,7 @@
                 Act::Answer(i) => {
                     let (p, outcome) = next.answers.remove(i);
                     let now = next.now(p);
-                    next.processes[p].holder.decided(now, &outcome);
+                    next.processes[p].holder.on_outcome(now, &outcome);
                 }
                 Act::Fetch(p) => next.fetch(p),
                 Act::Apply => next.apply(self.mistake == Some(Mistake::OldReading)),
@@ -332,7 +332,7 @@
                 }
                 Act::Effect(i) => {
                     let (p, epoch) = next.effects.remove(i);
-                    match next.fences.admit(DUTY, epoch) {
+                    match next.fences.check(DUTY, epoch) {
                         Ok(()) => next.executed.push((p, epoch)),
                         Err(_) => next.refused = true,
                     }
@@ -340,7 +340,7 @@
                 Act::HandOn(p) => {
                     spend(&mut left.hand_ons)?;
                     let now = next.now(p);
-                    let entry = next.processes[p].holder.hand_on(now, DUTY, NAMES[1 - p % 2])?;
+                    let entry = next.processes[p].holder.hand_over(now, DUTY, NAMES[1 - p % 2])?;
                     next.flying.push((None, entry));
                 }
                 Act::Leave(p) => {
@@ -379,13 +379,13 @@
                 }
                 Act::RestartSeat => {
                     spend(&mut left.restarts)?;
-                    (next.grantor, next.fresh) = (Grantor::new(Small::terms()), true);
+                    (next.grantor, next.fresh) = (LeaseGrantor::new(Small::terms()), true);
                 }
                 Act::RestartStore => {
                     spend(&mut left.restarts)?;
                     let kept = serde_json::to_string(&next.fences).ok()?;
                     next.fences = match self.mistake {
-                        Some(Mistake::Forgets) => Fences::default(),
+                        Some(Mistake::Forgets) => EpochFence::default(),
                         _ => serde_json::from_str(&kept).ok()?,
                     };
                 }
@@ -399,7 +399,7 @@
             Property::always("no two may act", |small: &Small, world: &World| {
                 small.with(|| world.acts().count() < 2)
             }),
-            // The agreed epoch goes on only when the lease is over everywhere, so this is more than the one before.
+            // The epoch increases only when the lease has expired everywhere, so this one is larger than before.
             Property::always("acts by the agreed epoch", |small: &Small, world: &World| {
                 let agreed = world.agreed.duties.get(DUTY).map(|duty| duty.epoch);
                 small.with(|| world.acts().all(|(_, epoch)| Some(epoch) == agreed))
@@ -427,7 +427,7 @@
 const NONE: Left =
     Left { ticks: 3, asks: 0, acts: 0, hand_ons: 0, revokes: 0, closes: 0, puts: 0, restarts: 0 };
 
-/// The worlds that are searched: each is small in another direction.
+/// The models to search, each small in a different respect.
 fn world(name: &str, mistake: Option<Mistake>) -> Small {
     let (processes, lags, left) = match name {
         "leases" => (2, true, Left { asks: 2, ..NONE }),
@@ -457,7 +457,7 @@
     }
 }
 
-/// With one renewal more in each world: minutes.
+/// With one more renewal in each model; takes minutes.
 #[test]
 #[ignore]
 fn in_no_longer_order_of_events_do_two_act() {
@@ -476,24 +476,24 @@
     let (order, agreed) = ("effects in order of epochs", "acts by the agreed epoch");
     let (one, bound) = ("one process an epoch", "who attends acts by what has bound");
     for (mistake, name, found) in [
-        (Code(Slip::FromAnswer), "leases", agreed),
-        (Code(Slip::NoDrift), "leases", agreed),
-        (Code(Slip::FromFirst), "leases", agreed),
-        (Code(Slip::AnyRenewal), "leases", agreed),
-        (Code(Slip::ActsUnrenewed), "leases", agreed),
+        (Code(SeededFault::FromAnswer), "leases", agreed),
+        (Code(SeededFault::NoDrift), "leases", agreed),
+        (Code(SeededFault::FromFirst), "leases", agreed),
+        (Code(SeededFault::AnyRenewal), "leases", agreed),
+        (Code(SeededFault::ActsUnrenewed), "leases", agreed),
         (OldReading, "leases", agreed),
-        (Code(Slip::NoFence), "effects", order),
+        (Code(SeededFault::NoFence), "effects", order),
         (Forgets, "effects", order),
-        (Code(Slip::SameEpoch), "effects", one),
-        (Code(Slip::HandsOnActing), "hand-on", agreed),
-        (Code(Slip::Revives), "hand-on", agreed),
-        (Code(Slip::LeavesActing), "hand-on", agreed),
-        (Code(Slip::LeavesActing), "documents", bound),
-        (Code(Slip::RenewsRevoked), "taken away", "what was taken away is not renewed"),
-        (Code(Slip::ClosesHeld), "closed", agreed),
-        (Code(Slip::EpochsAnew), "closed", "epochs only grow"),
-        (Code(Slip::AnyLife), "documents", bound),
-        (Code(Slip::AttendsBehind), "documents", bound),
+        (Code(SeededFault::SameEpoch), "effects", one),
+        (Code(SeededFault::HandsOnActing), "hand-on", agreed),
+        (Code(SeededFault::Revives), "hand-on", agreed),
+        (Code(SeededFault::LeavesActing), "hand-on", agreed),
+        (Code(SeededFault::LeavesActing), "documents", bound),
+        (Code(SeededFault::RenewsRevoked), "taken away", "what was taken away is not renewed"),
+        (Code(SeededFault::ClosesHeld), "closed", agreed),
+        (Code(SeededFault::EpochsAnew), "closed", "epochs only grow"),
+        (Code(SeededFault::AnyLife), "documents", bound),
+        (Code(SeededFault::AttendsBehind), "documents", bound),
     ] {
         let checker = search(world(name, Some(mistake)));
         let broken: Vec<&str> = checker.discoveries().into_keys().collect();
--- a/crates/duties/tests/duties/main.rs
+++ b/crates/duties/tests/duties/main.rs
@@ -1,5 +1,5 @@
-//! What duties promise, over all interleavings of small worlds, by properties and in virtual time; and that each seeded
-//! mistake breaks a promise.
+//! Guarantees of duties: over all interleavings of small models, by properties, and in virtual time. Each seeded
+//! fault must violate a guarantee.
 
 mod conductor;
 mod leases;
--- a/crates/duties/tests/duties/net.rs
+++ b/crates/duties/tests/duties/net.rs
@@ -1,5 +1,5 @@
-//! Duties in virtual time among many gateways: how long an election and a hand-over take, and what renewals cost. The
-//! council is a stand-in that decides whatever its leader is told, a round trip and a write later; five seats.
+//! Duties among many gateways in virtual time: duration of elections and handovers, and cost of renewals. Consensus
+//! is a stub that decides every proposal a round trip and a disk write later; five voting members.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -7,14 +7,14 @@
 use tansyjunction_duties::*;
 
 const SEATS: usize = 5;
-/// One way between any two, the spread of it, and a write to disk. Microseconds.
+/// One-way delay between any two processes, its spread, and the time of a disk write, in µs.
 const HOP: Micros = 2_000;
 const SPREAD: Micros = 1_000;
 const WRITE: Micros = 2_000;
-/// Between two questions of a gateway for what has changed, and two looks of the leading seat.
+/// Interval between a gateway's requests for changes, and between checks of the leader.
 const ASK_EVERY: Micros = 100_000;
 const LOOK_EVERY: Micros = 10_000;
-/// Headers and seal of a datagram. Bytes.
+/// Bytes of headers and authentication tag per datagram.
 const HEAD: usize = 90;
 const DUTY: &str = "sweep";
 
@@ -31,25 +31,25 @@
 }
 
 struct Gateway {
-    holder: Holder,
-    copy: Register,
+    holder: LeaseHolder,
+    copy: SharedState,
     lives: bool,
 }
 
 struct Net {
     now: Micros,
-    terms: Terms,
+    terms: LeaseConfig,
     random: fastrand::Rng,
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
     events: BTreeMap<u64, Event>,
     count: u64,
     gateways: Vec<Gateway>,
-    register: Register,
-    grantor: Grantor,
-    /// How long the leader gathers renewals into one entry; 0: each is one.
+    register: SharedState,
+    grantor: LeaseGrantor,
+    /// How long the leader batches renewals into one entry; 0: no batching.
     gather: Micros,
     gathered: Vec<(Option<usize>, Entry)>,
-    /// Bytes of all gateways' own traffic, and of the leading seat's with the other seats; entries.
+    /// Bytes of all gateways' traffic, of the leader's replication traffic, and number of entries.
     gateway_bytes: usize,
     leader_bytes: usize,
     entries: usize,
@@ -61,10 +61,10 @@
 
 impl Net {
     fn new(count: usize, gather: Micros, seed: u64) -> Net {
-        let terms = Terms::default();
+        let terms = LeaseConfig::default();
         let gateway = |g| {
-            let holder = Holder::new(&format!("n{g}"), 1, terms.clone());
-            Gateway { holder, copy: Register::default(), lives: true }
+            let holder = LeaseHolder::new(&format!("n{g}"), 1, terms.clone());
+            Gateway { holder, copy: SharedState::default(), lives: true }
         };
         let mut net = Net {
             now: 1_000_000,
@@ -73,8 +73,8 @@
             events: BTreeMap::new(),
             count: 0,
             gateways: (0..count).map(gateway).collect(),
-            register: Register::default(),
-            grantor: Grantor::new(terms.clone()),
+            register: SharedState::default(),
+            grantor: LeaseGrantor::new(terms.clone()),
             terms,
             gather,
             gathered: Vec::new(),
@@ -97,7 +97,7 @@
         self.events.insert(self.count, event);
     }
 
-    /// One way to or from the leader by a gateway's seat.
+    /// One-way delay to or from the leader through a gateway's member.
     fn way(&mut self, g: usize) -> Micros {
         let hops = if g.is_multiple_of(SEATS) { 1 } else { 2 };
         (0..hops).map(|_| HOP + self.random.u64(..SPREAD)).sum()
@@ -115,9 +115,9 @@
             return;
         }
         let zone = format!("z{}", g % 3);
-        let own = Own { taken: gateway.copy.newest, zone, room: 9, ..Own::default() };
-        let renewal = gateway.holder.ask(self.now, &gateway.copy, own);
-        let wait = gateway.holder.next() - self.now;
+        let own = GatewayReport { taken: gateway.copy.newest, zone, room: 9, ..GatewayReport::default() };
+        let renewal = gateway.holder.create_renewal(self.now, &gateway.copy, own);
+        let wait = gateway.holder.next_renewal() - self.now;
         self.propose(g, Entry::Renewals(vec![renewal]));
         self.after(wait, Event::Wake(g));
     }
@@ -150,7 +150,7 @@
         self.entries += 1;
         self.leader_bytes += (SEATS - 1) * (2 * HEAD + size(entry));
         let outcome = self.register.apply(self.register.index + 1, entry);
-        self.grantor.applied(self.now, &self.register, entry);
+        self.grantor.on_applied(self.now, &self.register, entry);
         outcome
     }
 
@@ -167,8 +167,8 @@
         match self.events.remove(&number).expect("an event") {
             Event::Wake(g) => self.wake(g),
             Event::Ask(g) => {
-                // Each asks its own seat, which knows what the leader knows a hop later.
-                let changes = self.register.changes(self.gateways[g].copy.index, 60_000);
+                // Each gateway asks its own member, which is one hop behind the leader.
+                let changes = self.register.changes_since(self.gateways[g].copy.index, 60_000);
                 self.gateway_bytes += 2 * HEAD + 16 + size(&changes);
                 let lives = self.gateways[g].lives;
                 self.after(2 * HOP, Event::Changes(g, changes));
@@ -177,12 +177,12 @@
                 }
             }
             Event::Changes(g, changes) => {
-                changes.iter().for_each(|change| self.gateways[g].copy.take(change));
+                changes.iter().for_each(|change| self.gateways[g].copy.apply_change(change));
                 self.wake(g);
             }
             Event::Look => {
-                let evidence = Evidence { leads: true, ..Evidence::default() };
-                for entry in self.grantor.due(self.now, &self.register, &evidence) {
+                let evidence = ElectionEvidence { is_leader: true, ..ElectionEvidence::default() };
+                for entry in self.grantor.due_proposals(self.now, &self.register, &evidence) {
                     self.after(0, Event::AtLeader(None, entry));
                 }
                 self.after(LOOK_EVERY, Event::Look);
@@ -202,14 +202,14 @@
             Event::Decide(all) => self.decide(all),
             Event::Answer(g, outcome) => {
                 let now = self.now;
-                self.gateways[g].holder.decided(now, &outcome);
+                self.gateways[g].holder.on_outcome(now, &outcome);
             }
         }
         let acts = self.gateways.iter().filter(|g| g.lives && g.holder.may_act(self.now, DUTY).is_some());
         assert!(self.register.duties.is_empty() || acts.count() < 2, "two act at {}", self.now);
     }
 
-    /// Runs until somebody but `not` may act; how long that took.
+    /// Runs until a gateway other than `not` may act; returns the time that took.
     fn until_acts(&mut self, not: Option<usize>) -> (usize, Micros) {
         let from = self.now;
         loop {
@@ -218,7 +218,7 @@
             if let Some(g) = self.gateways.iter().position(acts).filter(|g| Some(*g) != not) {
                 return (g, self.now - from);
             }
-            assert!(self.now < from + 60_000_000, "nobody acts: {:?}", self.grantor.nobody());
+            assert!(self.now < from + 60_000_000, "nobody acts: {:?}", self.grantor.without_candidate());
         }
     }
 
@@ -230,8 +230,8 @@
     }
 }
 
-/// Milliseconds: from the opening, the loss of the holder and its hand-on until the next may act; then bytes a second of a
-/// gateway and of the leader with the other seats, and entries a second.
+/// Milliseconds until the next holder may act after the duty's creation, the loss of its holder and its handover; then
+/// bytes per second of a gateway and of the leader's replication, and entries per second.
 fn measured(count: usize, gather: Micros, seed: u64) -> [u64; 6] {
     let mut net = Net::new(count, gather, seed);
     net.run(5_000_000);
@@ -249,7 +249,7 @@
     let costs = [net.gateway_bytes / count, net.leader_bytes, net.entries].map(|sum| sum as u64 / 5);
     let to = format!("n{}", (0..count).find(|g| *g != first && *g != second).expect("a third"));
     let now = net.now;
-    let entry = net.gateways[second].holder.hand_on(now, DUTY, &to).expect("it holds it");
+    let entry = net.gateways[second].holder.hand_over(now, DUTY, &to).expect("it holds it");
     net.propose(second, entry);
     let (_, handed) = net.until_acts(Some(second));
     [opened / 1_000, lost / 1_000, handed / 1_000, costs[0], costs[1], costs[2]]
--- a/crates/expect/src/contradiction.rs
+++ b/crates/expect/src/contradiction.rs
@@ -45,8 +45,8 @@
     found
 }
 
-/// What the configuration says of a command group, against what it is expected to say. Guards against a group that becomes
-/// free to repeat, or whose window or bound is raised, and all that is checked by runs still holds.
+/// What the configuration says of a command group, against what it is expected to say. Guards against a group that
+/// becomes free to repeat, or whose window or bound is raised, and all that is checked by runs still holds.
 fn stated(subject: &Subject, expectation: &Expectation) -> Option<Fault> {
     let (must, section) = (&expectation.must, &expectation.section);
     expectation.commands.iter().find_map(|k| {
--- a/crates/expect/src/expectation.rs
+++ b/crates/expect/src/expectation.rs
@@ -41,8 +41,8 @@
     pub failed: Option<Limit>,
     /// The longest that it is kept without a dispatch, in microseconds.
     pub held: Option<Micros>,
-    /// What the configuration must say of the command groups: how repeats are told, for how long at most, and the age of
-    /// the data at most. Times in microseconds.
+    /// What the configuration must say of the command groups: how repeats are told, for how long at most, and the age
+    /// of the data at most. Times in microseconds.
     pub effect: Option<Stated>,
     pub repeat_within: Option<Micros>,
     pub bound: Option<Micros>,
--- a/crates/expect/src/judge.rs
+++ b/crates/expect/src/judge.rs
@@ -151,8 +151,8 @@
     None
 }
 
-/// More work than the rule on cold servers allows, if all gateways did the same: in some window of its length, more than
-/// the multiple of what the server carries now. One unit of size carries one second of work in a second.
+/// More work than the rule on cold servers allows, if all gateways did the same: in some window of its length, more
+/// than the multiple of what the server carries now. One unit of size carries one second of work in a second.
 fn too_much_for_cold<S: Steer>(world: &World<S>, server: usize) -> Option<String> {
     let figures = &world.subject.figures;
     let (facts, truth) = (&world.subject.servers[server], &world.truths[server]);
--- a/crates/fellows/src/evidence.rs
+++ b/crates/fellows/src/evidence.rs
@@ -1,5 +1,5 @@
-//! What each gateway has seen of the servers, with its age where it was seen. Items merge in any order, any number of times,
-//! to the same end: of one source about one thing the latest counts, and of one told twice the older age.
+//! What each gateway has seen of the servers, with its age where it was seen. Items merge in any order, any number of
+//! times, to the same end: of one source about one thing the latest counts, and of one told twice the older age.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/fellows/src/fellows.rs
+++ b/crates/fellows/src/fellows.rs
@@ -174,8 +174,8 @@
         self.flush(now);
     }
 
-    /// Tells one that speaks under a name of which a later life is known, at most now and then. Guards against two gateways
-    /// with one name, of which the one is heard by nobody and never learns why.
+    /// Tells one that speaks under a name of which a later life is known, at most now and then. Guards against two
+    /// gateways with one name, of which the one is heard by nobody and never learns why.
     fn tell_of_later(&mut self, now: Micros, bytes: &[u8]) {
         let Some(Ok(Body::Membership(body))) = Seals::body(bytes).map(postcard::from_bytes) else { return };
         let Some(from) = Members::sender(&body) else { return };
@@ -188,8 +188,8 @@
         }
     }
 
-    /// This gateway saw something of a server. The same again is told anew only now and then, and so are a position and a
-    /// waiting, which always move.
+    /// This gateway saw something of a server. The same again is told anew only now and then, and so are a position
+    /// and a waiting, which always move.
     pub fn saw(&mut self, now: Micros, subject: &str, fact: Fact) {
         self.seen(now, subject, fact, self.terms.keep_for / ANEW);
     }
--- a/crates/fellows/src/members.rs
+++ b/crates/fellows/src/members.rs
@@ -1,6 +1,6 @@
-//! Which gateways live. Membership is SWIM by the crate foca; here stands what it leaves open: how far this gateway trusts
-//! itself, how patient it is with other regions, what it does after a pause, with two gateways under one name, and when it
-//! is alone.
+//! Which gateways live. Membership is SWIM by the crate foca; here stands what it leaves open: how far this gateway
+//! trusts itself, how patient it is with other regions, what it does after a pause, with two gateways under one name,
+//! and when it is alone.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -313,8 +313,8 @@
         }
     }
 
-    /// Somebody goes by this gateway's name. An earlier life of its own is outbid, even where the clock has jumped back;
-    /// so is a stranger's, once. One that bids more again lives: then the higher tag keeps the name.
+    /// Somebody goes by this gateway's name. An earlier life of its own is outbid, even where the clock has jumped
+    /// back; so is a stranger's, once. One that bids more again lives: then the higher tag keeps the name.
     fn rival(&mut self, now: Micros, other: &Fellow, lives: bool) {
         let me = self.me().clone();
         let own = other.address == me.address && other.tag == me.tag;
@@ -438,8 +438,8 @@
         self.with(now, |swim, runtime| swim.announce(accuser, runtime));
     }
 
-    /// Asks one that the settings name and that is not known to live. Guards against two companies that began apart, each
-    /// of several, of which none is alone and none knows any of the other.
+    /// Asks one that the settings name and that is not known to live. Guards against two companies that began apart,
+    /// each of several, of which none is alone and none knows any of the other.
     fn meet(&mut self, now: Micros) {
         let lives = |name: &str| self.seen.get(name).is_some_and(|seen| seen.standing != Standing::Down);
         let missing: Vec<_> = self.seeds.iter().filter(|(name, _)| !lives(name)).collect();
@@ -458,8 +458,8 @@
         self.with(now, |swim, runtime| swim.announce(to, runtime));
     }
 
-    /// Passes changes on sooner while many wait for it. Guards against hundreds that start at once and know each other only
-    /// after half a minute, since a datagram names a few.
+    /// Passes changes on sooner while many wait for it. Guards against hundreds that start at once and know each
+    /// other only after half a minute, since a datagram names a few.
     pub fn hasten(&mut self, now: Micros) {
         if self.yields {
             return;
@@ -467,8 +467,8 @@
         for _ in 0..(self.swim.updates_backlog() / WAITING).min(HASTE) {
             self.with(now, |swim, runtime| swim.gossip(runtime));
         }
-        // Each change is passed on a few times only, at first to the few that are known. Whoever hears of many new ones asks
-        // those that live whom they know.
+        // Each change is passed on a few times only, at first to the few that are known. Whoever hears of many new
+        // ones asks those that live whom they know.
         let since = now.saturating_sub(self.learned.0);
         if since > 2 * CURIOUS_FOR || self.learned.1.max(self.learned.2) < CURIOUS_FROM {
             return;
--- a/crates/fellows/src/opinion.rs
+++ b/crates/fellows/src/opinion.rs
@@ -1,5 +1,5 @@
-//! What many observers together say of a server. One observer weighs one, however much it tells; those whose own network
-//! seems broken weigh nothing; a zone that accuses by itself is a zone in trouble before the server is.
+//! What many observers together say of a server. One observer weighs one, however much it tells; those whose own
+//! network seems broken weigh nothing; a zone that accuses by itself is a zone in trouble before the server is.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -37,8 +37,8 @@
 }
 
 impl Opinion {
-    /// Known bad, and since when it was last found so: by two observers at least, from two zones or where none gets answers;
-    /// and by more than those whom it answers, or after the last answer that anybody got.
+    /// Known bad, and since when it was last found so: by two observers at least, from two zones or where none gets
+    /// answers; and by more than those whom it answers, or after the last answer that anybody got.
     pub fn bad(&self) -> Option<Micros> {
         let against = self.refuses + self.hangs;
         let since = against > self.answers || self.answered_at < self.accused_at;
@@ -106,8 +106,8 @@
     found
 }
 
-/// The member of a shard that leads by what others heard, and when the newest word of it was heard. Each observer has one
-/// voice, for the member that it last heard to lead, unless somebody has since heard that one to follow, or this
+/// The member of a shard that leads by what others heard, and when the newest word of it was heard. Each observer has
+/// one voice, for the member that it last heard to lead, unless somebody has since heard that one to follow, or this
 /// observer found it gone since. Guards against one observer that is wrong, or lies: it has one voice.
 pub fn leader<'a>(evidence: &Evidence, own: &str, members: &[&'a str]) -> Option<(&'a str, Micros)> {
     let mut last: BTreeMap<&str, (Micros, &'a str)> = BTreeMap::new();
--- a/crates/fellows/src/seal.rs
+++ b/crates/fellows/src/seal.rs
@@ -1,5 +1,5 @@
-//! Datagrams that prove who wrote them, and each of which counts once: a keyed hash, a window against repeats and a bound on
-//! how long one was on its way. What does not verify costs one hash and changes nothing.
+//! Datagrams that prove who wrote them, and each of which counts once: a keyed hash, a window against repeats and a
+//! bound on how long one was on its way. What does not verify costs one hash and changes nothing.
 
 use std::collections::BTreeMap;
 
@@ -98,8 +98,8 @@
 }
 
 impl Seals {
-    /// `old_after`: a datagram that was on its way for longer than this, beyond the quickest one of its sender, does not
-    /// count.
+    /// `old_after`: a datagram that was on its way for longer than this, beyond the quickest one of its sender, does
+    /// not count.
     pub fn new(keys: Keys, name: &str, life: u64, now: Micros, old_after: Micros) -> Self {
         let senders = BTreeMap::new();
         Seals { keys, name: name.into(), life, count: 0, began: now, old_after, senders }
--- a/crates/fellows/tests/fellows/membership.rs
+++ b/crates/fellows/tests/fellows/membership.rs
@@ -42,7 +42,8 @@
     }
 }
 
-/// Found by the rig: nine started together, three of them found each other first and none of these was ever alone again.
+/// Found by the rig: nine started together, three of them found each other first and none of these was ever alone
+/// again.
 #[test]
 pub fn two_companies_that_began_apart_become_one() {
     for seed in 1..=5 {
--- a/crates/fellows/tests/fellows/model.rs
+++ b/crates/fellows/tests/fellows/model.rs
@@ -1,5 +1,5 @@
-//! Merging over all interleavings of a small world: three gateways see, tell, tell again, begin anew and hear each other's
-//! words in any order, late or never.
+//! Merging over all interleavings of a small world: three gateways see, tell, tell again, begin anew and hear each
+//! other's words in any order, late or never.
 
 use std::collections::BTreeSet;
 
--- a/crates/fellows/tests/fellows/net.rs
+++ b/crates/fellows/tests/fellows/net.rs
@@ -1,5 +1,5 @@
-//! A network in virtual time for any number of gateways' fellows: delay, loss in each direction, doubling, reordering, cuts
-//! and pauses, all from one seed.
+//! A network in virtual time for any number of gateways' fellows: delay, loss in each direction, doubling,
+//! reordering, cuts and pauses, all from one seed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
--- a/crates/fellows/tests/fellows/sizes.rs
+++ b/crates/fellows/tests/fellows/sizes.rs
@@ -1,5 +1,5 @@
-//! The same code at sizes that sockets do not reach, in virtual time: how long it takes and what it costs. The long form
-//! prints the table of docs/fellows.md.
+//! The same code at sizes that sockets do not reach, in virtual time: how long it takes and what it costs. The long
+//! form prints the table of docs/fellows.md.
 
 use std::time::Instant;
 
--- a/crates/gateway/src/council/conduct.rs
+++ b/crates/gateway/src/council/conduct.rs
@@ -23,7 +23,7 @@
     since: Micros,
     /// A step of it is proposed.
     pub proposed: bool,
-    told: Option<(String, Switched)>,
+    told: Option<(String, SwitchResult)>,
     telling: bool,
     /// Not told again before.
     again: Micros,
@@ -67,7 +67,7 @@
     }
 
     fn conduct_one(&mut self, shard: u32, epoch: u64) {
-        let (now, duty) = (boottime(), duty_of(shard));
+        let (now, duty) = (boottime(), conductor_duty_of(shard));
         let version = Plan::read(self.register(), shard).map_or(0, |(_, document)| document.version);
         let to = Plan::read(self.register(), shard).map_or(String::new(), |(plan, _)| plan.to);
         let facts = self.facts();
@@ -87,34 +87,34 @@
         if work.proposed {
             return;
         }
-        let seen = Seen {
+        let seen = ConductorView {
             step_for: now - work.since,
-            switch_for,
+            step_timeout: switch_for,
             target_lost,
-            told: work.told.clone(),
-            telling: work.telling,
+            switch_result: work.told.clone(),
+            switch_pending: work.telling,
         };
-        match conduct(self.council.state(), shard, &self.me, epoch, &seen) {
-            Next::Wait(waits) => self.holder.waits(&duty, waits == Waits::Store),
-            Next::Propose(entry) => {
+        match next_action(self.council.state(), shard, &self.me, epoch, &seen) {
+            ConductorAction::Wait(waits) => self.holder.record_waiting(&duty, waits == WaitReason::Store),
+            ConductorAction::Propose(entry) => {
                 work.proposed = true;
-                self.holder.waits(&duty, true);
+                self.holder.record_waiting(&duty, true);
                 self.propose(entry, Ticket::Step(shard));
             }
-            Next::Tell(switch) => {
-                self.holder.waits(&duty, true);
+            ConductorAction::SendSwitch(switch) => {
+                self.holder.record_waiting(&duty, true);
                 self.tell_store(switch);
             }
-            Next::Release(why) => {
+            ConductorAction::Release(why) => {
                 let entry = self.holder.release(now, &duty, why);
                 self.part(&duty, epoch, entry, &format!("{why:?}").to_lowercase());
             }
-            Next::Close(entry) => {
+            ConductorAction::Close(entry) => {
                 self.holder.stop(now, &duty);
                 self.part(&duty, epoch, Some(entry), "over");
             }
             // Its document can't be read: perhaps another gateway runs a newer program.
-            Next::Nothing => {
+            ConductorAction::Nothing => {
                 let entry = self.holder.release(now, &duty, GivenBack::Unable);
                 self.part(&duty, epoch, entry, "unable");
             }
@@ -133,9 +133,9 @@
         if let Some(work) = self.works.get_mut(&shard) {
             work.proposed = false;
         }
-        let duty = duty_of(shard);
+        let duty = conductor_duty_of(shard);
         match outcome {
-            Outcome::Done { .. } => self.holder.worked(&duty, true),
+            Outcome::Done { .. } => self.holder.record_progress(&duty, true),
             // Another version or holder is there: the next look goes by that.
             Outcome::Overtaken { .. } | Outcome::Fenced { .. } => {}
             other => {
@@ -146,7 +146,7 @@
 
     /// Starts to tell the store, if the lease lasts long enough.
     fn tell_store(&mut self, switch: Switch) {
-        let (now, duty, within) = (boottime(), duty_of(switch.shard), self.set.effect_within);
+        let (now, duty, within) = (boottime(), conductor_duty_of(switch.shard), self.set.effect_within);
         let Some(work) = self.works.get_mut(&switch.shard) else { return };
         if now < work.again {
             return;
@@ -156,8 +156,8 @@
         let facts = self.facts();
         let servers = facts.planned.get(&switch.shard).and_then(|planned| planned.servers.as_ref());
         let server = servers.and_then(|servers| servers.get(&switch.to));
-        // What is left of the lease must do for opening a connection; the statement itself may outlast it, for the server
-        // refuses it once a later epoch was told.
+        // What is left of the lease must do for opening a connection; the statement itself may outlast it, for the
+        // server refuses it once a later epoch was told.
         let may = self.holder.may_start(now, &duty, self.set.lease / LEFT_PART) == Some(switch.epoch);
         let Some(until) = self.holder.until(&duty).filter(|_| may) else { return };
         let Some(address) = server.map(|server| server.address) else {
@@ -189,41 +189,42 @@
 
     /// Without a statement an operator switches the store; that it is done shows in who leads.
     fn told_by_hand(&mut self, switch: &Switch) {
-        let leads = Word::Leads { server: switch.to.clone() };
+        let leads = ShardReport::Leads { server: switch.to.clone() };
         let facts = self.facts();
         let word = facts.planned.get(&switch.shard).and_then(|planned| planned.word.as_ref());
         if let Some(work) = self.works.get_mut(&switch.shard).filter(|_| word == Some(&leads)) {
-            work.told = Some((switch.to.clone(), Switched::Yes));
+            work.told = Some((switch.to.clone(), SwitchResult::Confirmed));
         }
-        self.holder.waits(&duty_of(switch.shard), false);
+        self.holder.record_waiting(&conductor_duty_of(switch.shard), false);
     }
 
     /// An effect has ended.
     pub(super) fn switched(&mut self, conducted: Conducted) {
         let Conducted { switch, took, end } = conducted;
-        let (mono, duty, epoch, to) = (monotonic(), duty_of(switch.shard), switch.epoch, &switch.to);
+        let (mono, duty, epoch, to) =
+            (monotonic(), conductor_duty_of(switch.shard), switch.epoch, &switch.to);
         let ms = took / 1_000;
         let told = match &end {
             Ok(()) => {
                 info!(target: "council", what = "effect-end", mono, duty, epoch, to, ms, "the server leads");
-                Switched::Yes
+                SwitchResult::Confirmed
             }
             Err(Unswitched::Fenced) => {
                 warn!(target: "council", what = "effect-refused", mono, duty, epoch, to, ms, "it has seen a later epoch");
-                Switched::Fenced
+                SwitchResult::Fenced
             }
             Err(unswitched) => {
                 let remedy = unswitched.remedy();
                 warn!(target: "council", what = "effect-unknown", mono, duty, epoch, to, ms, remedy, "{unswitched}");
-                Switched::Unknown
+                SwitchResult::Unknown
             }
         };
         // An answer to an older epoch than the one that is held now says nothing of this one.
         let Some(work) = self.works.get_mut(&switch.shard).filter(|work| work.epoch == epoch) else { return };
         work.telling = false;
         work.again = boottime() + AGAIN;
-        if told == Switched::Yes {
-            self.holder.worked(&duty, true);
+        if told == SwitchResult::Confirmed {
+            self.holder.record_progress(&duty, true);
         }
         work.told = Some((switch.to, told));
     }
--- a/crates/gateway/src/council/effect.rs
+++ b/crates/gateway/src/council/effect.rs
@@ -1,5 +1,6 @@
-//! The one effect of a conductor: a statement that makes a server the primary, on a thread of its own with a bound on time.
-//! It carries shard, target and epoch, and may come twice: the server takes the same epoch again and refuses an older one.
+//! The one effect of a conductor: a statement that makes a server the primary, on a thread of its own with a bound on
+//! time. It carries shard, target and epoch, and may come twice: the server takes the same epoch again and refuses an
+//! older one.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -31,8 +32,8 @@
         .replace("{epoch}", &epoch)
 }
 
-/// Tells a server, by `until` at the latest (time of [`boottime`]); nothing is written after `starts_until`. `starts` is called
-/// right before, with a time of [`monotonic`] that lies before that end.
+/// Tells a server, by `until` at the latest (time of [`boottime`]); nothing is written after `starts_until`. `starts`
+/// is called right before, with a time of [`monotonic`] that lies before that end.
 ///
 /// # Errors
 ///
--- a/crates/gateway/src/council/fault.rs
+++ b/crates/gateway/src/council/fault.rs
@@ -15,7 +15,7 @@
     #[error("'council.listen' {address}: {cause}")]
     Listen { address: SocketAddr, cause: String },
     #[error("'council': {0}")]
-    Terms(#[from] tansyjunction_duties::Fault),
+    Terms(#[from] tansyjunction_duties::ConfigError),
     #[error("the council's thread: {0}")]
     Thread(String),
 }
--- a/crates/gateway/src/council/member.rs
+++ b/crates/gateway/src/council/member.rs
@@ -49,7 +49,7 @@
     pub life: u64,
     pub seed: u64,
     pub set: Set,
-    pub terms: Terms,
+    pub terms: LeaseConfig,
     pub keys: Keys,
     pub key_file: PathBuf,
     pub socket: UdpSocket,
@@ -78,10 +78,10 @@
     pub(super) me: String,
     zone: String,
     pub(super) set: Set,
-    terms: Terms,
-    pub(super) council: Council<Register>,
-    pub(super) holder: Holder,
-    pub(super) grantor: Option<Grantor>,
+    terms: LeaseConfig,
+    pub(super) council: Council<SharedState>,
+    pub(super) holder: LeaseHolder,
+    pub(super) grantor: Option<LeaseGrantor>,
     seals: Seals,
     key_file: PathBuf,
     socket: UdpSocket,
@@ -181,8 +181,8 @@
         let Opening { me, zone, life, seed, set, terms, keys, key_file, socket, .. } = opening;
         let sitting = sitting(&set);
         let mut broken = None;
-        // Here, not where commands are served: a disk that syncs slowly must not keep a gateway from serving. One whose store
-        // is of no use follows the others.
+        // Here, not where commands are served: a disk that syncs slowly must not keep a gateway from serving. One
+        // whose store is of no use follows the others.
         let council = match set.store.as_ref().map(|dir| store::open(dir)) {
             Some(Ok((disk, aside))) => {
                 if let Some((path, fault)) = aside {
@@ -207,13 +207,13 @@
             error!(target: "council", what = "disk", mono, remedy, "this seat can't sit, and follows: {fault}");
         }
         let now = boottime();
-        let grantor = council.as_ref().map(|_| Grantor::new(terms.clone()));
+        let grantor = council.as_ref().map(|_| LeaseGrantor::new(terms.clone()));
         let council = council.unwrap_or_else(|| Council::follower(now, &me, sitting, seed));
         let seals = Seals::new(keys, &me, life, now, OLD_AFTER);
         let routes = set.addresses.iter().cloned().collect();
         info!(target: "council", what = "begins", mono = monotonic(), life, seat = grantor.is_some(), "takes part as {me}");
         Ok(Member {
-            holder: Holder::new(&me, life, terms.clone()),
+            holder: LeaseHolder::new(&me, life, terms.clone()),
             me,
             zone,
             set,
@@ -254,7 +254,7 @@
         self.leaves.is_some()
     }
 
-    pub(super) fn register(&self) -> &Register {
+    pub(super) fn register(&self) -> &SharedState {
         self.council.state()
     }
 
@@ -313,9 +313,9 @@
 
     // --- Rounds ---
 
-    /// This round comes so late: what was due meanwhile starts anew. Guards against seats that, as they wake, take all others
-    /// for lost whose words still lie in the socket. That what ran out is not acted on needs no such care: each use of a
-    /// lease looks at the clock.
+    /// This round comes so late: what was due meanwhile starts anew. Guards against seats that, as they wake, take
+    /// all others for lost whose words still lie in the socket. That what ran out is not acted on needs no such care:
+    /// each use of a lease looks at the clock.
     fn stood_still(&mut self, now: Micros, late: Micros) {
         if late > self.set.elect_after / PAUSE_PART {
             self.council.moved(now);
@@ -324,7 +324,7 @@
             let ms = late / 1_000;
             warn!(target: "council", what = "paused", mono = monotonic(), ms, "this thread stood still");
             if let Some(grantor) = &mut self.grantor {
-                grantor.woke(now);
+                grantor.restart_timers(now);
             }
             self.tell_ends();
         }
@@ -364,7 +364,7 @@
         if let Some(grantor) = &mut self.grantor {
             let now = boottime();
             for (_, entry, _) in &applied {
-                grantor.applied(now, self.council.state(), entry);
+                grantor.on_applied(now, self.council.state(), entry);
             }
         }
         for (number, outcome) in self.council.take_decided() {
@@ -420,7 +420,7 @@
         }
         match (self.tickets.remove(&number), outcome) {
             (Some(Ticket::Renewal), Ok((_, outcome))) => {
-                self.holder.decided(boottime(), &outcome);
+                self.holder.on_outcome(boottime(), &outcome);
                 self.renewed(&outcome);
             }
             (Some(Ticket::Step(shard)), Ok((index, outcome))) => self.stepped(shard, index, &outcome),
@@ -462,23 +462,23 @@
     /// Tells of leases that have ended, and gives back what was taken away.
     fn tell_ends(&mut self) {
         let now = boottime();
-        for ended in self.holder.ended(now) {
+        for ended in self.holder.take_ended(now) {
             let (mono, duty, epoch) = (monotonic(), &ended.duty, ended.epoch);
             match ended.why {
-                Lapse::RanOut => {
+                LeaseEndReason::RanOut => {
                     let until = self.holder.until(duty).map_or(mono, |until| in_mono(now, until));
                     warn!(target: "council", what = "lapsed", mono, duty, epoch, until, "a duty's lease has run out");
                 }
-                Lapse::TakenAway => {
+                LeaseEndReason::TakenAway => {
                     warn!(target: "council", what = "revoked", mono, duty, epoch, "a duty was taken away");
                 }
-                Lapse::Stopped => {
+                LeaseEndReason::Stopped => {
                     info!(target: "council", what = "ended", mono, duty, epoch, "this gateway acts for it no more");
                 }
             }
             // A renewal that comes late may bring it back at the same epoch, perhaps before this end was told.
             self.granted.remove(duty);
-            if let Some(entry) = Holder::gives_back(&ended) {
+            if let Some(entry) = LeaseHolder::release_after(&ended) {
                 self.propose(entry, Ticket::Parting);
             }
         }
@@ -504,7 +504,7 @@
         let says: BTreeMap<String, String> = facts
             .planned
             .iter()
-            .filter_map(|(shard, planned)| planned.word.as_ref().map(|word| word.said(*shard)))
+            .filter_map(|(shard, planned)| planned.word.as_ref().map(|word| word.to_entry(*shard)))
             .collect();
         // What others wait for is told at once, not with the next beat.
         self.says_anew |= says != self.said;
@@ -515,7 +515,7 @@
         let deaf = now > facts.at + BEATS_MOST * (self.set.attend_every / 2);
         self.said.clone_from(&says);
         self.says_anew = false;
-        let own = Own {
+        let own = GatewayReport {
             taken: facts.taken,
             zone: self.zone.clone(),
             health: if deaf { ILL } else { facts.health },
@@ -523,7 +523,7 @@
             says,
         };
         let now = boottime();
-        let renewal = self.holder.ask(now, self.council.state(), own);
+        let renewal = self.holder.create_renewal(now, self.council.state(), own);
         self.propose(Entry::Renewals(vec![renewal]), Ticket::Renewal);
     }
 
@@ -531,8 +531,9 @@
     fn grant(&mut self) {
         let Some(grantor) = &mut self.grantor else { return };
         let suspected: BTreeSet<String> = self.facts.load().suspected.iter().cloned().collect();
-        let evidence = Evidence { leads: self.council.leads(), suspected, ..Evidence::default() };
-        for entry in grantor.due(boottime(), self.council.state(), &evidence) {
+        let evidence =
+            ElectionEvidence { is_leader: self.council.leads(), suspected, ..ElectionEvidence::default() };
+        for entry in grantor.due_proposals(boottime(), self.council.state(), &evidence) {
             let mono = monotonic();
             match &entry {
                 Entry::Expire { duty, epoch, .. } => {
@@ -595,7 +596,7 @@
             }
             let next = self.next_holder(&duty);
             let entry = match &next {
-                Some(to) => self.holder.hand_on(now, &duty, to),
+                Some(to) => self.holder.hand_over(now, &duty, to),
                 None => self.holder.release(now, &duty, GivenBack::Leaves),
             };
             let Some(entry) = entry else { continue };
@@ -623,7 +624,7 @@
         stands.standing = Standing::Vacant { since: 0, why: Vacated::New };
         register.attending.remove(&self.me);
         let suspected = self.facts().suspected.iter().cloned().collect();
-        elect(&register, &Evidence { suspected, ..Evidence::default() }, duty).ok()
+        elect(&register, &ElectionEvidence { suspected, ..ElectionEvidence::default() }, duty).ok()
     }
 
     // --- The other thread ---
@@ -631,7 +632,7 @@
     /// Tells the other thread of documents that have changed.
     fn tell_agreed(&mut self) {
         let newest = self.register().newest;
-        if newest == self.newest || !self.register().is_whole() || self.register().index == 0 {
+        if newest == self.newest || !self.register().is_complete() || self.register().index == 0 {
             return;
         }
         // Never back to less, unless in another council: a gateway that lost its seat knows nothing at first.
@@ -648,11 +649,12 @@
             .filter_map(|shard| Plan::read(register, shard).map(|(plan, _)| (shard, plan)))
             .collect();
         for (shard, plan) in plans.iter().filter(|(shard, plan)| before.plans.get(shard) != Some(plan)) {
-            let version = register.documents.get(&plan_of(*shard)).map_or(0, |document| document.version);
+            let version =
+                register.documents.get(&plan_document_of(*shard)).map_or(0, |document| document.version);
             let (mono, step, epoch, to) =
                 (monotonic(), format!("{:?}", plan.step).to_lowercase(), plan.epoch, &plan.to);
             info!(
-                target: "council", what = "document", mono, name = plan_of(*shard), version, step, to, epoch,
+                target: "council", what = "document", mono, name = plan_document_of(*shard), version, step, to, epoch,
                 number = plan.number, why = plan.why, "a change of primary goes on"
             );
         }
@@ -665,14 +667,14 @@
         let now = boottime();
         let waits = self.works.values().filter_map(Work::next);
         let ends = self.holder.next_end(now);
-        let grants = self.grantor.as_ref().and_then(|grantor| grantor.next(now));
+        let grants = self.grantor.as_ref().and_then(|grantor| grantor.next_due(now));
         // What was granted and is not renewed yet is asked for a little after the last renewal.
         let granted = self.register().held_by(&self.me, self.holder.life());
         let soon = granted.into_iter().any(|(duty, epoch)| self.granted.get(duty) != Some(&epoch));
-        let soon = soon.then(|| now + self.terms.attend_every / 10);
+        let soon = soon.then(|| now + self.terms.renew_interval / 10);
         let leaves =
-            self.leaves.filter(|_| self.last_word.is_none()).map(|_| now + self.terms.attend_every / 10);
-        let all = [Some(self.council.next()), Some(self.holder.next()), ends, grants, soon, leaves];
+            self.leaves.filter(|_| self.last_word.is_none()).map(|_| now + self.terms.renew_interval / 10);
+        let all = [Some(self.council.next()), Some(self.holder.next_renewal()), ends, grants, soon, leaves];
         all.into_iter().flatten().chain(waits).min().unwrap_or(now).max(now + 200)
     }
 }
--- a/crates/gateway/src/council/mod.rs
+++ b/crates/gateway/src/council/mod.rs
@@ -1,8 +1,8 @@
-//! The agreed part of a gateway on a thread of its own: the council's member, its store and its socket, the clocks of leases, and
-//! the conductor's effect. Nothing is decided here.
+//! The agreed part of a gateway on a thread of its own: the council's member, its store and its socket, the clocks of
+//! leases, and the conductor's effect. Nothing is decided here.
 //!
-//! The thread that serves commands never waits for this one: it reads what was agreed from a snapshot ([`Told`]) when it is
-//! woken, and puts what it knows into another ([`Facts`]). Operators' words pass through a bounded queue.
+//! The thread that serves commands never waits for this one: it reads what was agreed from a snapshot ([`Told`]) when
+//! it is woken, and puts what it knows into another ([`Facts`]). Operators' words pass through a bounded queue.
 
 mod conduct;
 mod effect;
@@ -25,7 +25,7 @@
 use calloop::ping::{Ping, PingSource, make_ping};
 use serde_json::Value as Json;
 use tansyjunction::interface::Micros;
-use tansyjunction_duties::{Plan, Terms, Word};
+use tansyjunction_duties::{LeaseConfig, Plan, ShardReport};
 use tansyjunction_fellows::seal::Keys;
 use tansyjunction_settings::Council as Set;
 
@@ -37,7 +37,8 @@
 const WORDS_MOST: usize = 16;
 /// How long the thread may take to end once it is told to.
 const ENDS_WITHIN: Duration = Duration::from_millis(500);
-/// Keys for the council's datagrams come from those of the file by this: what is sealed for the fellows opens for no seat.
+/// Keys for the council's datagrams come from those of the file by this: what is sealed for the fellows opens for no
+/// seat.
 const USE: &str = "tansyjunction council datagrams 1";
 
 /// What was agreed, as far as commands mind it.
@@ -59,7 +60,7 @@
 /// What this gateway knows of a shard with a change of primary under way.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Planned {
-    pub word: Option<Word>,
+    pub word: Option<ShardReport>,
     /// None: no list of servers has come yet.
     pub servers: Option<BTreeMap<String, Server>>,
 }
@@ -158,14 +159,14 @@
     let said = |error: std::io::Error| Start::Listen { address, cause: error.to_string() };
     let socket = UdpSocket::bind(address).map_err(said)?;
     socket.set_nonblocking(true).map_err(said)?;
-    let terms = Terms {
+    let terms = LeaseConfig {
         lease: set.lease,
         drift: set.drift * 10_000,
-        attend_every: set.attend_every,
-        stall_for: set.stall_for,
-        flap_for: set.flap_for,
-        switch_for: set.step_within,
-        ..Terms::default()
+        renew_interval: set.attend_every,
+        stall_timeout: set.stall_for,
+        flap_window: set.flap_for,
+        step_timeout: set.step_within,
+        ..LeaseConfig::default()
     };
     terms.check()?;
     let thread_fault = |error: &dyn std::fmt::Display| Start::Thread(error.to_string());
@@ -223,7 +224,8 @@
         self.orders.try_send(order).is_ok()
     }
 
-    /// Ends the thread: after [`Facts::leaves`] it has so long to hand on duties. A disk that does not answer keeps nobody.
+    /// Ends the thread: after [`Facts::leaves`] it has so long to hand on duties. A disk that does not answer keeps
+    /// nobody.
     pub fn join(mut self, most: Duration) {
         let _ = self.over.recv_timeout(most);
         drop(self.orders);
--- a/crates/gateway/src/council/status.rs
+++ b/crates/gateway/src/council/status.rs
@@ -13,7 +13,7 @@
         let documents = register.documents.iter().map(|(name, document)| {
             json!({
                 "name": name, "version": document.version, "by": document.by, "bytes": document.body.len(),
-                "binds": register.binds(name, document.version), "waits_for": register.lags(name),
+                "binds": register.is_binding(name, document.version), "waits_for": register.lagging_gateways(name),
             })
         });
         let attending = register.attending.iter().map(|(name, attends)| {
@@ -22,7 +22,7 @@
                 "life": attends.life, "taken": attends.taken, "says": attends.says,
             })
         });
-        let nobody = self.grantor.as_ref().map(|grantor| grantor.nobody());
+        let nobody = self.grantor.as_ref().map(|grantor| grantor.without_candidate());
         let duties = register.duties.iter().map(|(name, duty)| {
             let nobody = nobody.and_then(|nobody| nobody.get(name));
             let standing = match duty.standing {
@@ -48,7 +48,7 @@
             json!({ "duty": duty, "epoch": epoch, "for_ms": until.saturating_sub(now) / 1_000 })
         });
         let scouted = self.facts().scouted.clone().into_iter().map(|(group, done)| {
-            let scout = register.duties.get(&scout_of(&group)).and_then(|duty| duty.holder_name());
+            let scout = register.duties.get(&probing_duty_of(&group)).and_then(|duty| duty.holder_name());
             json!({ "group": group, "scout": scout, "probes": done.probes, "spared": done.spared })
         });
         json!({
@@ -56,7 +56,7 @@
             "leader": stands.leader, "seats": stands.seats, "council": format!("{:016x}", stands.council),
             "decided": stands.decided, "applied": stands.applied, "index": register.index,
             "log": { "first": stands.log.0, "last": stands.log.1, "bytes": stands.log.2 },
-            "whole": register.is_whole() && register.index > 0,
+            "whole": register.is_complete() && register.index > 0,
             "attends_for_ms": self.holder.attends_until().saturating_sub(now) / 1_000,
             "fault": self.broken.as_ref().map(|fault| format!("{fault}; {}", fault.remedy())),
             "refused": self.refused, "slowest_ms": self.slowest / 1_000,
--- a/crates/gateway/src/council/words.rs
+++ b/crates/gateway/src/council/words.rs
@@ -26,7 +26,7 @@
 }
 
 impl Waiting {
-    pub fn decided(self, register: &Register, outcome: Result<(u64, Outcome), Undecided>) {
+    pub fn decided(self, register: &SharedState, outcome: Result<(u64, Outcome), Undecided>) {
         let answer = match outcome {
             Ok((index, Outcome::Done { at })) => Ok(json!({ "ok": true, "version": at, "index": index })),
             Ok((_, Outcome::Refused(refused))) => Err(Unable::Refused(refused)),
@@ -75,7 +75,7 @@
             return Ok(Answer::Now(self.status()));
         }
         let register = self.register();
-        if !register.is_whole() || self.council.index() == 0 {
+        if !register.is_complete() || self.council.index() == 0 {
             return Err(Unable::NotWhole);
         }
         let by = format!("{} ({})", self.me, word["by"].as_str().unwrap_or("operator"));
@@ -85,7 +85,7 @@
                 let document = register.documents.get(name).ok_or(Unable::NoDocument(name.into()))?;
                 Ok(Answer::Now(json!({
                     "name": name, "version": document.version, "by": document.by, "body": document.body,
-                    "binds": register.binds(name, document.version), "waits_for": register.lags(name),
+                    "binds": register.is_binding(name, document.version), "waits_for": register.lagging_gateways(name),
                 })))
             }
             "propose" | "withdraw" => {
@@ -113,14 +113,13 @@
                     let step = format!("{:?}", plan.step).to_lowercase();
                     Unable::UnderWay { shard, to: plan.to, step }
                 })?;
-                Ok(Answer::Propose(entry, plan_of(shard)))
+                Ok(Answer::Propose(entry, plan_document_of(shard)))
             }
             "abort" => {
                 let (shard, _) = shard.ok_or(Unable::Missing("shard"))?;
                 let why = word["why"].as_str().unwrap_or(WHY);
-                let entry =
-                    Plan::call_off(register, shard, why, &by).ok_or(Unable::NothingUnderWay(shard))?;
-                Ok(Answer::Propose(entry, plan_of(shard)))
+                let entry = Plan::abort(register, shard, why, &by).ok_or(Unable::NothingUnderWay(shard))?;
+                Ok(Answer::Propose(entry, plan_document_of(shard)))
             }
             other => Err(Unable::NoSuchWord(other.into())),
         }
--- a/crates/gateway/src/gateway/clients.rs
+++ b/crates/gateway/src/gateway/clients.rs
@@ -111,9 +111,9 @@
         true
     }
 
-    /// Gives up a connection without a command for its descriptor, which is needed at once, unless something has come.
-    /// Guards against a command that lies unread on a connection that is closed, and against the reset that a close over
-    /// unread bytes brings, which would overtake the last answer.
+    /// Gives up a connection without a command for its descriptor, which is needed at once, unless something has
+    /// come. Guards against a command that lies unread on a connection that is closed, and against the reset that a
+    /// close over unread bytes brings, which would overtake the last answer.
     fn make_way(&mut self, key: u64) {
         let now = self.clock.now();
         let Some(client) = self.clients.get(key) else { return };
@@ -174,8 +174,8 @@
         self.clients.get(key).is_some_and(|client| client.looks_ahead(now, room))
     }
 
-    /// Whether the client of a command is there at this moment; one that has gone is given up. Guards against an attempt
-    /// for a client that left unnoticed: the process may have stood still, or been busy with others.
+    /// Whether the client of a command is there at this moment; one that has gone is given up. Guards against an
+    /// attempt for a client that left unnoticed: the process may have stood still, or been busy with others.
     pub(super) fn still_waits(&mut self, command: u64) -> bool {
         let Some(key) = self.clients.client_of(command) else { return false };
         let stays = self.stays(key);
--- a/crates/gateway/src/gateway/commands.rs
+++ b/crates/gateway/src/gateway/commands.rs
@@ -77,9 +77,9 @@
         if let Next::Close = written {
             self.close_client(key);
         } else {
-            // Guards against clients that send on at once, and so keep their connections up to the last moment, in which
-            // what they sent can't be answered any more: the end goes out right behind the answer. What crosses it was not
-            // read, and is sent again elsewhere.
+            // Guards against clients that send on at once, and so keep their connections up to the last moment, in
+            // which what they sent can't be answered any more: the end goes out right behind the answer. What crosses
+            // it was not read, and is sent again elsewhere.
             if self.listener.is_none()
                 && let Some(client) = self.clients.get(key).filter(|client| client.is_idle())
             {
--- a/crates/gateway/src/gateway/company.rs
+++ b/crates/gateway/src/gateway/company.rs
@@ -1,5 +1,5 @@
-//! Where this gateway meets the others: datagrams go to and from the fellows, what was seen of servers becomes evidence, and
-//! what others saw becomes hearsay for the router. Nothing is decided here.
+//! Where this gateway meets the others: datagrams go to and from the fellows, what was seen of servers becomes
+//! evidence, and what others saw becomes hearsay for the router. Nothing is decided here.
 
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
--- a/crates/gateway/src/gateway/control.rs
+++ b/crates/gateway/src/gateway/control.rs
@@ -1,4 +1,5 @@
-//! The operators' socket: a line of JSON asks, a line of JSON answers. It is made with mode 0600 and removed at the end.
+//! The operators' socket: a line of JSON asks, a line of JSON answers. It is made with mode 0600 and removed at the
+//! end.
 
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
--- a/crates/gateway/src/gateway/council.rs
+++ b/crates/gateway/src/gateway/council.rs
@@ -1,5 +1,5 @@
-//! Where commands meet what was agreed: plans of changes of primary are handed to the holds, and what this gateway knows of them
-//! is told to the council's thread. Nothing is decided here, and no command waits for that thread.
+//! Where commands meet what was agreed: plans of changes of primary are handed to the holds, and what this gateway
+//! knows of them is told to the council's thread. Nothing is decided here, and no command waits for that thread.
 
 use std::collections::BTreeMap;
 use std::os::unix::net::UnixStream;
@@ -8,7 +8,7 @@
 
 use serde_json::{Value as Json, json};
 use tansyjunction::interface::*;
-use tansyjunction_duties::{Plan, Step, Word};
+use tansyjunction_duties::{Plan, ShardReport, Step};
 use tansyjunction_fellows::members::Standing as Seen;
 use tansyjunction_handover::Phase;
 use tansyjunction_settings::Program;
@@ -88,7 +88,7 @@
         if self
             .agreeing
             .as_ref()
-            .is_some_and(|agreeing| agreeing.told.plans.values().any(|plan| !plan.over()))
+            .is_some_and(|agreeing| agreeing.told.plans.values().any(|plan| !plan.is_finished()))
         {
             self.follow_plans();
             self.tell_council(true);
@@ -136,7 +136,7 @@
 
     fn tell_council(&self, at_once: bool) {
         let Some(agreeing) = &self.agreeing else { return };
-        let under_way = agreeing.told.plans.iter().filter(|(_, plan)| !plan.over());
+        let under_way = agreeing.told.plans.iter().filter(|(_, plan)| !plan.is_finished());
         let planned: BTreeMap<u32, Planned> =
             under_way.map(|(shard, plan)| (*shard, self.planned(agreeing, *shard, plan))).collect();
         let company = self.company.as_ref().map(|company| company.members());
@@ -167,12 +167,12 @@
             let target = self.servers_named.find(&plan.to);
             let held = agreeing.holding.get(&shard).is_some_and(|(number, _)| *number == plan.number);
             if held && status.phase == Phase::Electing && status.target.is_some() && status.target == target {
-                return Some(Word::Drained { number: plan.number });
+                return Some(ShardReport::Drained { number: plan.number });
             }
             // Who holds writes sends none to anybody.
             let sends = status.phase.accepts_writes() || status.phase == Phase::Releasing;
             let primary = status.primary.filter(|_| sends)?;
-            Some(Word::Leads { server: self.servers_named.name(primary).into() })
+            Some(ShardReport::Leads { server: self.servers_named.name(primary).into() })
         });
         let servers = agreeing.listed.as_ref().map(|listed| {
             let members = listed.iter().filter(|(_, (of, _))| *of == place);
--- a/crates/gateway/src/gateway/discovery.rs
+++ b/crates/gateway/src/gateway/discovery.rs
@@ -12,16 +12,16 @@
 use super::{Due, Gateway};
 use crate::wire::directory::{Answer, Came, Stands};
 
-/// How long discovery, which listens on this machine, may take to begin with the whole list. What was connected during an
-/// outage may never be answered, while all that discovery has counts from the outage's end: the next try has to come well
-/// within the second that servers which drain may still be sent to. A process that serves nothing yet waits for twice as
-/// much after each silence, so that one that is slow and not silent is heard.
+/// How long discovery, which listens on this machine, may take to begin with the whole list. What was connected
+/// during an outage may never be answered, while all that discovery has counts from the outage's end: the next try
+/// has to come well within the second that servers which drain may still be sent to. A process that serves nothing
+/// yet waits for twice as much after each silence, so that one that is slow and not silent is heard.
 const WATCH_OPENS: Micros = 500_000;
-/// Discovery writes every 2 s. A beat and a half without a word is a silence: what it hides counts as told 6 s after its
-/// beginning, by when two more attempts, silent as well, must have been given up.
+/// Discovery writes every 2 s. A beat and a half without a word is a silence: what it hides counts as told 6 s after
+/// its beginning, by when two more attempts, silent as well, must have been given up.
 const WATCH_SILENCE: Micros = 3_000_000;
-/// The whole list has to be there so long after it was asked for. Guards against a discovery that is slow by the byte, of which
-/// each byte would be a sign of life.
+/// The whole list has to be there so long after it was asked for. Guards against a discovery that is slow by the
+/// byte, of which each byte would be a sign of life.
 const LIST_WHOLE: Micros = 2_500_000;
 /// A list or an empty line has to be whole on a watch so long after the last one, also a beat before one that comes in
 /// pieces. The whole list may take as much for a process that serves nothing yet, and after one that was too slow: one
@@ -32,8 +32,9 @@
 const WATCH_AGAIN: Micros = 100_000;
 const WATCH_AGAIN_MOST: Micros = 500_000;
 
-/// What discovery has and can be asked for counts as told so long after, whatever failed before; so does what a watch misses
-/// that fell silent. After SIGHUP it counts sooner. Where servers drain they may be sent to for a second after that.
+/// What discovery has and can be asked for counts as told so long after, whatever failed before; so does what a watch
+/// misses that fell silent. After SIGHUP it counts sooner. Where servers drain they may be sent to for a second after
+/// that.
 const COUNTS: Micros = 6_000_000;
 const COUNTS_AFTER_SIGHUP: Micros = 4_000_000;
 const DRAINS: Micros = 1_000_000;
@@ -121,8 +122,8 @@
         }
     }
 
-    /// SIGHUP: another address may number its lists otherwise, and a watch at the same one may be silent; what is there counts
-    /// from here on either way. Until it tells its own list, the last one stays in force.
+    /// SIGHUP: another address may number its lists otherwise, and a watch at the same one may be silent; what is
+    /// there counts from here on either way. Until it tells its own list, the last one stays in force.
     pub(super) fn discovery_anew(&mut self) {
         self.leave_discovery();
         (self.watch.pause, self.watch.silences, self.watch.slow) = (WATCH_AGAIN, 0, false);
@@ -133,8 +134,8 @@
         self.watch.due.set(&mut self.due, Due::Discovery, due);
     }
 
-    /// The one place that gives up the connection to discovery. Whoever is asked next may number the lists otherwise: the
-    /// whole one comes first then.
+    /// The one place that gives up the connection to discovery. Whoever is asked next may number the lists otherwise:
+    /// the whole one comes first then.
     fn leave_discovery(&mut self) {
         self.watch.version = None;
         if let Some(call) = self.watch.call.take() {
@@ -195,7 +196,8 @@
         let asked = self.watch.version.is_none();
         let fresh = !came.lists.is_empty();
         for list in came.lists {
-            // Guards against an agent that numbers anew: its lists would be taken for old ones as long as its watch lives.
+            // Guards against an agent that numbers anew: its lists would be taken for old ones as long as its watch
+            // lives.
             if let Some(last) = self.watch.version.filter(|last| list.version < *last) {
                 return self.discovery_failed(&format!("list {} came after {last}", list.version));
             }
@@ -288,8 +290,9 @@
         if self.deployment.gone_binds {
             self.forget_gone(&left_out);
         }
-        // Guards against what waits for a process that is no more: at the new one, which is cold, it is placed anew. Idle
-        // connections go first, all of them: what is placed anew must not be written to one, and then count as never sent.
+        // Guards against what waits for a process that is no more: at the new one, which is cold, it is placed anew.
+        // Idle connections go first, all of them: what is placed anew must not be written to one, and then count as
+        // never sent.
         let (waiting, idle): (Vec<u64>, Vec<u64>) = worthless
             .into_iter()
             .partition(|key| self.servers.get(*key).is_some_and(|line| line.job.is_some()));
--- a/crates/gateway/src/gateway/due.rs
+++ b/crates/gateway/src/gateway/due.rs
@@ -9,11 +9,12 @@
 use crate::wire::client::Next;
 use crate::wire::server::{Job, Said};
 
-/// What a new process is asked waits so long for discovery's list, which comes at once unless discovery is out of order.
+/// What a new process is asked waits so long for discovery's list, which comes at once unless discovery is out of
+/// order.
 pub(super) const LIST_COMES: Micros = 200_000;
 /// The list that the configuration carries serves only after so long without another one: from the first moment all
-/// that discovery has counts as told. By then a watch that fell silent at the start would count as told as well, so that
-/// this process knows no less than those that have served on.
+/// that discovery has counts as told. By then a watch that fell silent at the start would count as told as well, so
+/// that this process knows no less than those that have served on.
 const KNOWN_AFTER: Micros = 6_000_000;
 /// SIGKILL follows SIGTERM after the longest client timeout, or this if that is longer, and some more; by then all
 /// that was taken must have been answered, with time to spare.
