--- a/crates/gateway/src/gateway/scout.rs
+++ b/crates/gateway/src/gateway/scout.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use tansyjunction::interface::*;
-use tansyjunction_duties::{Found, Heard, Known, Scout};
+use tansyjunction_duties::{ProbeContext, ProbeDelegation, ProbeResult, ReportedResult};
 use tansyjunction_fellows::evidence::Fact;
 use tansyjunction_hosting::NameNumbers;
 
@@ -12,7 +12,7 @@
 
 /// What this gateway does of the probes.
 pub struct Scouting {
-    scout: Scout,
+    scout: ProbeDelegation,
     /// By group, how many were done here, and spared.
     done: BTreeMap<usize, (u64, u64)>,
     /// Servers to which a probe is out, with their groups.
@@ -21,7 +21,7 @@
 
 impl Scouting {
     pub fn new(word_most: Micros) -> Self {
-        Scouting { scout: Scout::new(word_most), done: BTreeMap::new(), out: BTreeSet::new() }
+        Scouting { scout: ProbeDelegation::new(word_most), done: BTreeMap::new(), out: BTreeSet::new() }
     }
 
     /// By groups' names.
@@ -34,14 +34,14 @@
     }
 }
 
-fn heard((fact, age): (Fact, Micros)) -> Option<Heard> {
+fn heard((fact, age): (Fact, Micros)) -> Option<ReportedResult> {
     let found = match fact {
-        Fact::Answers => Found::Answers,
-        Fact::Refuses => Found::Refuses,
-        Fact::Hangs => Found::Hangs,
+        Fact::Answers => ProbeResult::Answers,
+        Fact::Refuses => ProbeResult::Refuses,
+        Fact::Hangs => ProbeResult::Hangs,
         _ => return None,
     };
-    Some(Heard { found, age })
+    Some(ReportedResult { result: found, age })
 }
 
 impl Gateway {
@@ -53,20 +53,24 @@
         let (me, name) = (self.deployment.name.as_str(), self.servers_named.name(server));
         let said = |by: &str| company.reach(now, by, name).and_then(heard);
         let own = said(me);
-        let bad = own.is_some_and(|own| own.found != Found::Answers);
-        let known = Known {
-            me,
-            scout: scout.as_deref(),
-            own,
-            word: scout.as_deref().and_then(said),
+        let bad = own.is_some_and(|own| own.result != ProbeResult::Answers);
+        let known = ProbeContext {
+            own_name: me,
+            holder: scout.as_deref(),
+            own_result: own,
+            reported: scout.as_deref().and_then(said),
             // Looks through all evidence, so not where it is of no use.
-            doubted: bad && scout.as_deref().is_some_and(|scout| company.doubts(scout)),
+            holder_doubted: bad && scout.as_deref().is_some_and(|scout| company.doubts(scout)),
         };
         let counts = scouting.done.entry(group).or_default();
-        match scouting.scout.instead(now, server, &known) {
+        match scouting.scout.replacement(now, server, &known) {
             Some(found) => {
                 counts.1 += 1;
-                Some(if found == Found::Hangs { DispatchEnd::TimedOut } else { DispatchEnd::Unconnected })
+                Some(if found == ProbeResult::Hangs {
+                    DispatchEnd::TimedOut
+                } else {
+                    DispatchEnd::Unconnected
+                })
             }
             None => {
                 scouting.out.insert((group, server));
--- a/crates/gateway/src/gateway/servers.rs
+++ b/crates/gateway/src/gateway/servers.rs
@@ -161,11 +161,10 @@
         self.end_line(key, ending);
     }
 
-    /// Whether a connection's job may go on to be written: its client is looked for, and the router and the holds are asked
-    /// again.
-    /// Guards against a statement that waited for its connection or lay half written in it, while its server
-    /// began to drain, its window for repeats ran out or its data grew too old. It ends as never sent, and with
-    /// it a connection that has a part of it.
+    /// Whether a connection's job may go on to be written: its client is looked for, and the router and the holds are
+    /// asked again. Guards against a statement that waited for its connection or lay half written in it, while its
+    /// server began to drain, its window for repeats ran out or its data grew too old. It ends as never sent, and
+    /// with it a connection that has a part of it.
     pub(super) fn may_write(&mut self, key: u64) -> bool {
         let now = self.clock.now();
         let Some(line) = self.servers.get(key).filter(|line| line.written.is_none()) else { return true };
--- a/crates/gateway/src/memory/clients.rs
+++ b/crates/gateway/src/memory/clients.rs
@@ -35,8 +35,8 @@
         }
     }
 
-    /// A connection was ended here. Guards against one that only waits for the other side's end and is taken for one that
-    /// rests.
+    /// A connection was ended here. Guards against one that only waits for the other side's end and is taken for one
+    /// that rests.
     pub fn closes(&mut self, key: u64, now: Micros) {
         let Some(client) = self.connections.get_mut(&key) else { return };
         let at = (client.used, key);
--- a/crates/gateway/src/memory/sessions.rs
+++ b/crates/gateway/src/memory/sessions.rs
@@ -7,8 +7,8 @@
 use tansyjunction::interface::Micros;
 
 /// After so long a session is forgotten: far longer than replicas lag, so that its writes are everywhere by then, and
-/// short enough that hundreds of new ones a second fit into the memory. Whoever gets its number inherits its last write,
-/// which asks for newer data than need be, never for older.
+/// short enough that hundreds of new ones a second fit into the memory. Whoever gets its number inherits its last
+/// write, which asks for newer data than need be, never for older.
 const FORGET_AFTER: Micros = 120_000_000;
 
 /// A session's name, which its client may make as long as a message. Guards against names that fill the
--- a/crates/gateway/src/wire/bytes.rs
+++ b/crates/gateway/src/wire/bytes.rs
@@ -21,8 +21,8 @@
     Broken,
 }
 
-/// Whether the other side has ended, also behind bytes that are still unread. Where the system does not tell, it looks as
-/// if it went on: then only reading on finds the end.
+/// Whether the other side has ended, also behind bytes that are still unread. Where the system does not tell, it
+/// looks as if it went on: then only reading on finds the end.
 pub fn has_ended(stream: &TcpStream) -> bool {
     let mut there = [PollFd::new(stream, PollFlags::RDHUP)];
     let told = poll(&mut there, Some(&Timespec::default())).is_ok_and(|count| count > 0);
--- a/crates/gateway/src/wire/client.rs
+++ b/crates/gateway/src/wire/client.rs
@@ -153,8 +153,8 @@
         changed.then(|| middle.map(|(within, _)| within))
     }
 
-    /// Reads what is there; false: the client has ended. One that ends its side right behind a whole command has gone too:
-    /// by the protocol's page a client stays for as long as it waits, and what it sent before is not answered.
+    /// Reads what is there; false: the client has ended. One that ends its side right behind a whole command has gone
+    /// too: by the protocol's page a client stays for as long as it waits, and what it sent before is not answered.
     pub fn read(&mut self, now: Micros) -> bool {
         // Guards against clients that send ahead or do not read, whose bytes would fill the memory.
         let most = match &self.in_hand {
@@ -170,8 +170,8 @@
         self.more && self.phase != Phase::Closing
     }
 
-    /// Looks for the end behind what [`Client::read`] left unread, reading on where there is `room`; false: the client has
-    /// ended. Guards against attempts for a client that left behind what it had sent ahead.
+    /// Looks for the end behind what [`Client::read`] left unread, reading on where there is `room`; false: the
+    /// client has ended. Guards against attempts for a client that left behind what it had sent ahead.
     pub fn looks_ahead(&mut self, now: Micros, room: bool) -> bool {
         let in_hand = self.in_hand.as_ref().filter(|_| room);
         let most = in_hand.map(|in_hand| in_hand.length + AHEAD_MOST);
--- a/crates/gateway/src/wire/directory.rs
+++ b/crates/gateway/src/wire/directory.rs
@@ -213,8 +213,8 @@
         }
     }
 
-    /// A watch brings one list after the other, empty lines between them only tell that it lives. Guards against lists that
-    /// come indented, over many lines: each ends where its JSON does.
+    /// A watch brings one list after the other, empty lines between them only tell that it lives. Guards against
+    /// lists that come indented, over many lines: each ends where its JSON does.
     fn lines(&mut self, came: &mut Came) -> Result<(), String> {
         let mut taken = 0;
         while came.lists.len() < LISTS_A_TURN {
@@ -239,8 +239,8 @@
     }
 }
 
-/// How far a watch's text was looked through. Guards against a list that is read again with each piece of it: each byte is
-/// looked at once, and a list is parsed when its last bracket is there.
+/// How far a watch's text was looked through. Guards against a list that is read again with each piece of it: each
+/// byte is looked at once, and a list is parsed when its last bracket is there.
 #[derive(Default)]
 struct Place {
     at: usize,
--- a/crates/handover/src/shard.rs
+++ b/crates/handover/src/shard.rs
@@ -211,8 +211,8 @@
         self.next_due = self.next_due.min(at);
     }
 
-    /// Whether a write may go to the server that the router chose. Refuses servers that claim the role of primary at the
-    /// same time, and an earlier primary that has not learned that it was replaced.
+    /// Whether a write may go to the server that the router chose. Refuses servers that claim the role of primary at
+    /// the same time, and an earlier primary that has not learned that it was replaced.
     pub fn may_write_to(&mut self, shard: usize, server: usize, write: u64) -> bool {
         let Some(shard) = self.shards.get_mut(&shard) else { return true };
         let fenced = shard.servers.get(&server).is_some_and(|evidence| evidence.fenced);
@@ -733,9 +733,9 @@
         (self.servers.get(&server)?.answered_at <= out.since).then_some(out.since)
     }
 
-    /// Collects the servers to probe: while there is no primary or a conflict, and while a target catches up. A gateway
-    /// whose clients send nothing to the shard would otherwise never learn how far the target is, and all gateways would
-    /// wait for it.
+    /// Collects the servers to probe: while there is no primary or a conflict, and while a target catches up. A
+    /// gateway whose clients send nothing to the shard would otherwise never learn how far the target is, and all
+    /// gateways would wait for it.
     fn collect_probes(&mut self, figures: &HandoverConfig, now: Micros, looks: &mut Vec<usize>) {
         if figures.probe_interval == 0 {
             return;
--- a/crates/handover/tests/phases.rs
+++ b/crates/handover/tests/phases.rs
@@ -419,7 +419,7 @@
         }
         assert_eq!(last == Admission::Hold, kept, "{name}: {last:?}");
         assert!(
-            kept || matches!(last, Admission::Throttle { retry_after } if come_back > 0),
+            kept || matches!(last, Admission::Throttle { retry_after } if retry_after > 0),
             "{name}: {last:?}"
         );
     }
@@ -437,7 +437,7 @@
     let scout = bench.write();
     bench.admit(&scout);
     let write = bench.write();
-    assert!(matches!(bench.admit(&write), Admission::Throttle { retry_after } if come_back > 2_500 * MS));
+    assert!(matches!(bench.admit(&write), Admission::Throttle { retry_after } if retry_after > 2_500 * MS));
     bench.now += 1_500 * MS;
     assert_eq!(
         {
--- a/crates/handover/tests/release.rs
+++ b/crates/handover/tests/release.rs
@@ -10,7 +10,8 @@
 const START: Micros = 1_000_000_000;
 const MS: Micros = 1_000;
 const WORK: Micros = 20 * MS;
-/// The rule: the load within a window may be this many times the current capacity, which starts at this share of a core.
+/// The rule: the load within a window may be this many times the current capacity, which starts at this share of a
+/// core.
 const MULTIPLE: f64 = 3.0;
 const COLD_FROM: f64 = 0.2;
 const WINDOW: Micros = 2_000 * MS;
--- a/crates/rig/src/duties.rs
+++ b/crates/rig/src/duties.rs
@@ -11,8 +11,8 @@
 pub struct Line {
     pub at: u64,
     pub by: usize,
-    /// granted, lapsed, revoked, released, handed-on, effect-start, effect-end, effect-refused, document, leads, follows,
-    /// stranger, seated, disk, and others
+    /// granted, lapsed, revoked, released, handed-on, effect-start, effect-end, effect-refused, document, leads,
+    /// follows, stranger, seated, disk, and others
     pub what: String,
     pub duty: String,
     pub epoch: u64,
@@ -263,8 +263,8 @@
         broken
     }
 
-    /// Microseconds from the moment at which the holder of a duty could no longer act, to when the next one could; by the
-    /// epoch of the next.
+    /// Microseconds from the moment at which the holder of a duty could no longer act, to when the next one could; by
+    /// the epoch of the next.
     pub fn without(&self, duty: &str) -> BTreeMap<u64, u64> {
         let held: Vec<Held> = self.held().into_iter().filter(|held| held.duty == duty).collect();
         let pairs = held.windows(2).filter(|pair| pair[0].epoch < pair[1].epoch);
@@ -360,8 +360,8 @@
         }
     }
 
-    /// A follower hears of what was acknowledged a beat or two later: until then it lacks it. One that never hears of it
-    /// has lost it, however long was waited.
+    /// A follower hears of what was acknowledged a beat or two later: until then it lacks it. One that never hears of
+    /// it has lost it, however long was waited.
     #[test]
     fn what_comes_late_is_lacked_until_it_is_there_and_what_never_comes_is_lost() {
         let mut history = right();
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -50,11 +50,11 @@
     now.map_or(0, |now| now.tv_sec() as u64 * 1_000_000 + now.tv_nsec() as u64 / 1_000)
 }
 
-/// Ports for gateways lie below those that the system hands out by itself: a gateway that is started anew must find its own
-/// free, though other rigs open sockets by the hundred meanwhile.
+/// Ports for gateways lie below those that the system hands out by itself: a gateway that is started anew must find
+/// its own free, though other rigs open sockets by the hundred meanwhile.
 const PORTS: std::ops::Range<u16> = 10_000..30_000;
-/// So many are taken at a time, behind the first one, which is held as long as the process lasts. Guards against another
-/// process's rig that takes a port whose gateway is down just then.
+/// So many are taken at a time, behind the first one, which is held as long as the process lasts. Guards against
+/// another process's rig that takes a port whose gateway is down just then.
 const BLOCK: u16 = 200;
 static TAKEN: Mutex<(Vec<TcpListener>, std::ops::Range<u16>)> = Mutex::new((Vec::new(), 0..0));
 
@@ -81,7 +81,8 @@
 impl Fleet {
     /// Lays out folders, addresses and names; nothing runs yet.
     pub fn new(program: &Path, plan: &Plan) -> std::io::Result<Fleet> {
-        // In memory where there is such a folder: a disk that others keep busy takes a second to sync, and is no fault of the plan.
+        // In memory where there is such a folder: a disk that others keep busy takes a second to sync, and is no
+        // fault of the plan.
         let memory = Path::new("/dev/shm");
         let folder = if memory.is_dir() { tempfile::tempdir_in(memory)? } else { tempfile::tempdir()? };
         let one = |number: usize| {
--- a/crates/rig/src/ground.rs
+++ b/crates/rig/src/ground.rs
@@ -1,5 +1,5 @@
-//! Gateways with a council, played step by step: a test waits for what they say and then does something to them. The store
-//! keeps statements back where it is told to, so that a fault falls into the middle of an effect every time.
+//! Gateways with a council, played step by step: a test waits for what they say and then does something to them. The
+//! store keeps statements back where it is told to, so that a fault falls into the middle of an effect every time.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -156,7 +156,8 @@
     pub fn announce(&mut self, number: usize, shard: usize, to: usize) -> Result<(), String> {
         let (shard_named, to) = (shard.to_string(), Store::name(to));
         let words = ["plan", &shard_named, "--to", &to];
-        // What was not decided in time may still be decided: an operator says it again, and is told of what is under way.
+        // What was not decided in time may still be decided: an operator says it again, and is told of what is under
+        // way.
         let said = loop {
             match self.say(number, &words) {
                 Err(message)
@@ -186,8 +187,8 @@
         }
     }
 
-    /// Proposes a document at a gateway until it is agreed: what was not decided in time is said again, and one that finds
-    /// the version that it asked for was decided after all.
+    /// Proposes a document at a gateway until it is agreed: what was not decided in time is said again, and one that
+    /// finds the version that it asked for was decided after all.
     pub fn agree(&mut self, number: usize, name: &str, expected: u64, body: &Json) -> Result<u64, String> {
         let began = Instant::now();
         loop {
@@ -286,8 +287,8 @@
         Ok(())
     }
 
-    /// Does at seats that have stopped what they say that an operator should do: the store is set aside, and the seat begins
-    /// anew.
+    /// Does at seats that have stopped what they say that an operator should do: the store is set aside, and the seat
+    /// begins anew.
     pub fn remedy(&mut self) -> Result<(), String> {
         for seat in 0..self.seats() {
             if self.status(seat).is_ok_and(|status| !status["fault"].is_null()) {
@@ -409,12 +410,12 @@
         (leads && seats && attend && same("plans") && same("documents")).then_some(())
     }
 
-    /// No plan is under way and no duty is open, each gateway has all that was acknowledged, and sends a shard's writes where
-    /// the store takes them.
+    /// No plan is under way and no duty is open, each gateway has all that was acknowledged, and sends a shard's
+    /// writes where the store takes them.
     fn quiet(&self) -> Option<()> {
         self.whole()?;
-        // Guards against a verdict on a follower that is a beat behind: it hears of a document after whoever proposed it. The
-        // same in all is not enough, for all may lack what was never kept.
+        // Guards against a verdict on a follower that is a beat behind: it hears of a document after whoever proposed
+        // it. The same in all is not enough, for all may lack what was never kept.
         let kept = self.kept();
         if kept.len() < self.plan.gateways || !lacking(&self.agreed, &kept).is_empty() {
             return None;
--- a/crates/rig/src/judge.rs
+++ b/crates/rig/src/judge.rs
@@ -18,7 +18,8 @@
     pub of: Option<usize>,
 }
 
-/// The members' lines of a gateway's log. `zero`: the machine's monotonic clock at the faults' beginning, in microseconds.
+/// The members' lines of a gateway's log. `zero`: the machine's monotonic clock at the faults' beginning, in
+/// microseconds.
 pub fn read(by: usize, log: &str, zero: u64) -> Vec<Told> {
     let told = log.lines().filter_map(|line| {
         let json: Json = serde_json::from_str(line).ok()?;
--- a/crates/rig/src/plan.rs
+++ b/crates/rig/src/plan.rs
@@ -239,8 +239,8 @@
         plan
     }
 
-    /// Changes of primary with two faults at once under each, the seats among those that they befall. The same seed gives the
-    /// same plan.
+    /// Changes of primary with two faults at once under each, the seats among those that they befall. The same seed
+    /// gives the same plan.
     pub fn drawn_changes(seed: u64, gateways: usize, changes: usize) -> Plan {
         let mut rng = Rng::with_seed(seed);
         let council = Council::default();
--- a/crates/rig/src/run.rs
+++ b/crates/rig/src/run.rs
@@ -152,8 +152,9 @@
     run_when(program, plan, &|_| true)
 }
 
-/// The same, and each moment of the plan comes no sooner than `ready` says: on a busy machine what a fault is to lead to may
-/// take longer than the plan lets it last. Faults last, and come, so much later; so does the plan of the outcome.
+/// The same, and each moment of the plan comes no sooner than `ready` says: on a busy machine what a fault is to lead
+/// to may take longer than the plan lets it last. Faults last, and come, so much later; so does the plan of the
+/// outcome.
 pub fn run_when(program: &Path, plan: &Plan, ready: &dyn Fn(&Sight) -> bool) -> Result<Outcome, String> {
     let plan = &mut plan.clone();
     let said = |error: std::io::Error| error.to_string();
@@ -258,8 +259,9 @@
     if let What::Pause { who } = what { who } else { &[] }
 }
 
-/// Does each fault at its time, or as soon as `ready` says from then on, and undoes it at its end likewise. `change` is told of a shard whose primary an operator changes, and
-/// of a gateway that is well; `list` of a server that leads. Returns what went wrong with the processes.
+/// Does each fault at its time, or as soon as `ready` says from then on, and undoes it at its end likewise. `change`
+/// is told of a shard whose primary an operator changes, and of a gateway that is well; `list` of a server that
+/// leads. Returns what went wrong with the processes.
 pub(crate) fn play(
     fleet: &mut Fleet,
     links: &[&Links],
--- a/crates/settings/src/council.rs
+++ b/crates/settings/src/council.rs
@@ -48,8 +48,8 @@
     pub compact_after: u64,
     /// Makes a server the primary; None: an operator does, and the conductor waits for it.
     pub switch_statement: Option<String>,
-    /// How long one try of that may take; what has no answer by then is told again. It may outlast a lease: whoever holds the
-    /// duty next tells a later epoch, and the server refuses this one from then on.
+    /// How long one try of that may take; what has no answer by then is told again. It may outlast a lease: whoever
+    /// holds the duty next tells a later epoch, and the server refuses this one from then on.
     pub effect_within: Micros,
     /// How long each step of a change of primary may take before the change is taken back.
     pub step_within: Micros,
--- a/crates/settings/src/program.rs
+++ b/crates/settings/src/program.rs
@@ -200,7 +200,8 @@
     pub gossip_every: Micros,
     /// Longest datagram, in bytes.
     pub datagram: usize,
-    /// Evidence is forgotten after so long; a datagram that was on its way for longer than `old_after` counts for nothing.
+    /// Evidence is forgotten after so long; a datagram that was on its way for longer than `old_after` counts for
+    /// nothing.
     pub keep_for: Micros,
     pub old_after: Micros,
     /// Whether the router hears what others saw.
--- a/crates/span/src/link.rs
+++ b/crates/span/src/link.rs
@@ -88,8 +88,8 @@
         Ok(number)
     }
 
-    /// What is to be sent again after a break, in its order and under its old numbers. `renew` makes it anew first: time
-    /// has passed since, and a command that may have run must not be sent as one that did not.
+    /// What is to be sent again after a break, in its order and under its old numbers. `renew` makes it anew first:
+    /// time has passed since, and a command that may have run must not be sent as one that did not.
     pub fn again(&mut self, mut renew: impl FnMut(&T) -> T) -> Vec<(u64, T)> {
         for (_, body) in &mut self.sent {
             *body = renew(body);
--- a/crates/span/src/memory.rs
+++ b/crates/span/src/memory.rs
@@ -74,8 +74,8 @@
         }
     }
 
-    /// The near side asks what became of a command. One that never came is barred from now on: whatever still is on its way
-    /// must not run it.
+    /// The near side asks what became of a command. One that never came is barred from now on: whatever still is on
+    /// its way must not run it.
     pub fn asked(&mut self, incarnation: u64, number: u64) -> Known {
         match self.take(incarnation, number) {
             Known::Fresh => {
@@ -86,7 +86,8 @@
         }
     }
 
-    /// A command that runs here has ended. The oldest that are done are forgotten beyond the bound; one that runs is never.
+    /// A command that runs here has ended. The oldest that are done are forgotten beyond the bound; one that runs is
+    /// never.
     pub fn done(&mut self, incarnation: u64, number: u64, outcome: Outcome) {
         let Some(of) = self.of.get_mut(&incarnation) else { return };
         if let Some(entry) = of.commands.get_mut(&number) {
--- a/crates/span/src/near.rs
+++ b/crates/span/src/near.rs
@@ -92,8 +92,8 @@
         })
     }
 
-    /// The far side began anew, and nobody knows what became of these: a keyed one goes again while its window is open, all
-    /// others that have left are answered failed.
+    /// The far side began anew, and nobody knows what became of these: a keyed one goes again while its window is
+    /// open, all others that have left are answered failed.
     pub fn in_doubt(&mut self, now: Micros, numbers: &[u64]) -> (Vec<u64>, Vec<(u64, Answer)>) {
         let (mut again, mut over) = (Vec::new(), Vec::new());
         for number in numbers {
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,8 +1,8 @@
 //! A stand-in for a replicated store on loopback, written from the public protocol: servers that speak PostgreSQL's
 //! messages, discovery over HTTP, and clients. Threads and real time; chance comes from a seed.
 //!
-//! [`Store`] holds shards of one primary and replicas, remembers keys for their window and keeps a ledger of every effect.
-//! Its servers can be switched, killed, hung and brought back, by calls or by a [`Script`] in INI.
+//! [`Store`] holds shards of one primary and replicas, remembers keys for their window and keeps a ledger of every
+//! effect. Its servers can be switched, killed, hung and brought back, by calls or by a [`Script`] in INI.
 
 mod client;
 mod discovery;
--- a/crates/standin/src/script.rs
+++ b/crates/standin/src/script.rs
@@ -28,8 +28,8 @@
 }
 
 impl Script {
-    /// Reads `switch SHARD to SERVER after TIME`, `kill SERVER`, `kill SERVER after commit`, `hang SERVER`, `lag SERVER TIME`, `crown SERVER`,
-    /// `back SERVER`, `back SERVER as it was` and `list SERVER`.
+    /// Reads `switch SHARD to SERVER after TIME`, `kill SERVER`, `kill SERVER after commit`, `hang SERVER`, `lag
+    /// SERVER TIME`, `crown SERVER`, `back SERVER`, `back SERVER as it was` and `list SERVER`.
     pub fn read(ini: &Ini, shards: usize, members: usize) -> Result<Script, Fault> {
         let mut steps = Vec::new();
         for section in &ini.sections {
--- a/crates/standin/src/scripted.rs
+++ b/crates/standin/src/scripted.rs
@@ -1,5 +1,5 @@
-//! Servers that keep to a script, one statement after the other, and a gateway between them and its clients: for tests of
-//! single failures. What goes wrong in a rig is a panic here, since a test goes no further then.
+//! Servers that keep to a script, one statement after the other, and a gateway between them and its clients: for
+//! tests of single failures. What goes wrong in a rig is a panic here, since a test goes no further then.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/standin/src/switches.rs
+++ b/crates/standin/src/switches.rs
@@ -1,5 +1,5 @@
-//! Switches of primary that are ordered by a statement, `SELECT switch /* shard=0,to=s1,epoch=4 */`: the fence that refuses
-//! who was overtaken, the record of all, and what makes their ends uncertain.
+//! Switches of primary that are ordered by a statement, `SELECT switch /* shard=0,to=s1,epoch=4 */`: the fence that
+//! refuses who was overtaken, the record of all, and what makes their ends uncertain.
 
 use std::collections::BTreeMap;
 use std::sync::MutexGuard;
--- a/crates/wirehost/tests/settings.rs
+++ b/crates/wirehost/tests/settings.rs
@@ -280,8 +280,8 @@
 
 #[test]
 fn where_only_draining_binds_being_gone_or_left_out_does_not() {
-    // Whether removal is advisory, the successive states of s1 in the list (empty: a whole list without it), and whether
-    // reads still go there.
+    // Whether removal is advisory, the successive states of s1 in the list (empty: a whole list without it), and
+    // whether reads still go there.
     for (advice, told, sent) in [
         (Some(true), &["DELETED"][..], true),
         (Some(true), &[""], true),
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -548,8 +548,8 @@
             .unwrap_or_default()
     }
 
-    /// The least share that a cold server got in the first half of its warm-up: of the budget, or of an average member's
-    /// commands if that is less.
+    /// The least share that a cold server got in the first half of its warm-up: of the budget, or of an average
+    /// member's commands if that is less.
     fn least(&self) -> f64 {
         let site = &self.plan.site;
         let half = site.cold / 2;
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -821,7 +821,8 @@
 
 #[test]
 fn a_member_that_started_anew_is_not_down_any_more() {
-    // A server that was down and is listed with a new start must not wait for its next probe, which may be a minute off.
+    // A server that was down and is listed with a new start must not wait for its next probe, which may be a minute
+    // off.
     let mut store = Store::calm(&[]);
     store.probe_fails(0, DispatchEnd::TimedOut);
     let held = store.command(MUTATING);
@@ -914,8 +915,8 @@
 
 #[test]
 fn reads_do_not_spill_to_a_primary_that_is_late() {
-    // Hundreds of routers must not send reads that replicas are too stale for to a primary that is late with its writes.
-    // With few routers there is no such load: with no replica left, the primary takes the read.
+    // Hundreds of routers must not send reads that replicas are too stale for to a primary that is late with its
+    // writes. With few routers there is no such load: with no replica left, the primary takes the read.
     for (routers, took, spills) in [(300.0, 20 * MS, true), (300.0, 320 * MS, false), (1.0, 320 * MS, true)] {
         let patient =
             [("command_group.5.response_target", Value::Number(1e6)), ("routers", Value::Number(routers))];
@@ -952,9 +953,9 @@
 
 #[test]
 fn where_servers_do_not_check_the_nearest_replica_is_asked_before_a_read_goes_to_the_primary() {
-    // A low-traffic router knows no fresh replica and would send all bounded reads to the primary. Cases: what the probed
-    // replica reports, and whether the read goes to it. It is probed once, and the read waits for a quarter of the
-    // response target at most.
+    // A low-traffic router knows no fresh replica and would send all bounded reads to the primary. Cases: what the
+    // probed replica reports, and whether the read goes to it. It is probed once, and the read waits for a quarter of
+    // the response target at most.
     let unchecked = [("guards", Value::Text("none".into())), ("routers", Value::Number(300.0))];
     let asked = |store: &mut Store| {
         let probes = store.router.next_check(store.now, None).probes;
@@ -1039,8 +1040,8 @@
 
 #[test]
 fn a_group_that_was_late_is_asked_for_its_queues() {
-    // A low-traffic router has no evidence of long queues. Cases: the queues reported by members 1 and 2, and who may get
-    // the read: none where both are too long. The primary's queue is as long.
+    // A low-traffic router has no evidence of long queues. Cases: the queues reported by members 1 and 2, and who may
+    // get the read: none where both are too long. The primary's queue is as long.
     for (queues, expected) in [([0.0, 30.0], Some(1)), ([30.0, 0.0], Some(2)), ([30.0, 30.0], None)] {
         let mut store = Store::calm(&[]);
         let tell = |store: &mut Store, server: usize, queue: f64| {
@@ -1076,8 +1077,8 @@
 
 #[test]
 fn an_overloaded_primary_is_not_taken_for_a_stopped_one() {
-    // Writes must not be tried at replicas while their primary has a queue. Cases: what the primary reported in a probe,
-    // and whether the next write is held.
+    // Writes must not be tried at replicas while their primary has a queue. Cases: what the primary reported in a
+    // probe, and whether the next write is held.
     for (queue, held_back) in [(Some(50.0), true), (None, false)] {
         let mut store = Store::calm(&[]);
         let mut slow = store.command(MUTATING);
@@ -1195,9 +1196,9 @@
 
 #[test]
 fn what_others_saw_is_weaker_than_own_answers() {
-    // Routers that start together must not each learn by failures what the others know, nor believe one that is wrong.
-    // Cases: the observation, whether servers check freshness themselves, the evidence seen here, and where a write goes.
-    // An observation older than the last answer here does not take the member out.
+    // Routers that start together must not each learn by failures what the others know, nor believe one that is
+    // wrong. Cases: the observation, whether servers check freshness themselves, the evidence seen here, and where a
+    // write goes. An observation older than the last answer here does not take the member out.
     let told = |server, leads, bad: bool| PeerObservation {
         server,
         leading_at: leads,
