--- a/crates/cli/src/council.rs
+++ b/crates/cli/src/council.rs
@@ -6,7 +6,7 @@
 
 use clap::{Args, Subcommand};
 use serde_json::{Value as Json, json};
-use tansyjunction_gateway::{Deployment, found, refound};
+use tansyjunction_gateway::{Deployment, create_cluster, recover_cluster};
 
 use crate::handover::ask;
 use crate::line::{Source, print};
@@ -127,7 +127,7 @@
     }
     let said = |error: std::io::Error| format!("'council.store' {}: {error}", dir.display());
     std::fs::create_dir_all(dir).map_err(said)?;
-    let made = if again { refound(dir, name) } else { found(dir, name) };
+    let made = if again { recover_cluster(dir, name) } else { create_cluster(dir, name) };
     made.map_err(|fault| format!("{fault}; {}", fault.remedy()))?;
     print(&format!("founded by {name} in {}\n", dir.display()))
 }
--- a/crates/council/src/lib.rs
+++ b/crates/council/src/lib.rs
@@ -1,23 +1,23 @@
-//! Gateways that agree on one log of entries, and on the state that follows from it. A few of them sit in the council
-//! and keep the log on disk; all others follow the state. Consensus is Raft by the crate raft; here stand its
-//! storage, who sits, how entries are carried to the leader and applied once, and how followers catch up. There is no
-//! clock, thread or socket; only [`store`] touches a disk. The host calls [`Council::heard`] and [`Council::settle`],
-//! then sends what [`Council::take_out`] holds.
+//! Consensus among gateways on a log of entries and on the state that follows from it. A few gateways are voting
+//! members and keep the log on disk; all others follow the state. Consensus is Raft by the crate `raft`; this crate adds
+//! storage, membership changes, forwarding of proposals to the leader, exactly-once application and state transfer to
+//! followers. It has no clock, threads or sockets, and only [`store`] accesses a disk. The host calls
+//! [`ConsensusMember::receive`] and [`ConsensusMember::process`], then sends [`ConsensusMember::take_messages`].
 //!
-//! To lead grants nothing by itself: whoever needs a right for a time gets it by an entry.
+//! Leadership grants no rights by itself: whoever needs a right for a time obtains it by an entry.
 
-mod council;
-mod fault;
-mod log;
-mod machine;
+mod config;
+mod error;
+mod member;
+mod raft_log;
+pub mod seeded_faults;
 mod sessions;
-pub mod slips;
+mod state_machine;
 pub mod store;
-mod terms;
 mod wire;
 
-pub use council::{Applied, Council, Decided, News, Role, Status, Undecided};
-pub use fault::Fault;
-pub use machine::Machine;
+pub use config::{ConsensusConfig, Micros};
+pub use error::ConsensusError;
+pub use member::{Applied, ConsensusMember, Decided, MemberEvent, MemberStatus, ProposalError, Role};
+pub use state_machine::StateMachine;
 pub use store::Disk;
-pub use terms::{Micros, Terms};
--- a/crates/council/src/sessions.rs
+++ b/crates/council/src/sessions.rs
@@ -1,28 +1,30 @@
-//! What was decided of each proposer's tickets, so that a proposal which was repeated is applied once. Part of the
-//! agreed state.
+//! Outcomes of proposals by proposer and ticket, so that a repeated proposal is applied only once. Part of the
+//! replicated state.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-use crate::slips::{self, Slip};
+use crate::seeded_faults::{self, SeededFault};
 use crate::wire::Proposal;
 
-/// Lives of one name that are kept: datagrams do not outlive so many restarts.
-const LIVES: usize = 8;
-/// Entries after which a silent proposer is forgotten. Far more than are decided while a proposal is repeated.
+/// Process runs kept per name: no datagram survives this many restarts.
+const MAX_RUNS_PER_NAME: usize = 8;
+/// Number of entries after which an idle proposer is forgotten: far more than are decided while a proposal is repeated.
 const FORGET_AFTER: u64 = 1_000_000;
-/// How often that is looked at, in entries.
-const LOOK_EVERY: u64 = 4_096;
+/// Interval of that check, in entries.
+const EXPIRY_CHECK_INTERVAL: u64 = 4_096;
 
+/// Outcomes of one run of a proposer.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 struct Session<O> {
-    /// Tickets below are over and never applied again.
+    /// Lower tickets are finished and never applied again.
     done: u64,
     last: u64,
     outcomes: BTreeMap<u64, (u64, O)>,
 }
 
+/// Sessions of all proposers, by name and process run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Sessions<O> {
     by_name: BTreeMap<String, BTreeMap<u64, Session<O>>>,
@@ -35,23 +37,25 @@
 }
 
 impl<O: Clone> Sessions<O> {
-    /// The index and outcome of a ticket that was decided and is not over.
-    pub fn decided(&self, origin: &str, life: u64, ticket: u64) -> Option<&(u64, O)> {
+    /// Index and outcome of a decided ticket that is not finished yet.
+    pub fn outcome_of(&self, origin: &str, life: u64, ticket: u64) -> Option<&(u64, O)> {
         self.by_name.get(origin)?.get(&life)?.outcomes.get(&ticket)
     }
 
-    /// Whether a ticket is over: decided, or of no more interest to its origin.
-    pub fn over(&self, origin: &str, life: u64, ticket: u64) -> bool {
+    /// Whether a ticket is decided or its proposer no longer waits for it.
+    pub fn is_finished(&self, origin: &str, life: u64, ticket: u64) -> bool {
         let session = self.by_name.get(origin).and_then(|lives| lives.get(&life));
         session.is_some_and(|session| ticket < session.done || session.outcomes.contains_key(&ticket))
     }
 
-    /// Whether the proposal at `index` is to be applied; if so [`Sessions::keep`] follows.
-    pub fn takes(&self, origin: &str, proposal: &Proposal) -> bool {
-        !self.over(origin, proposal.life, proposal.ticket) || slips::is(Slip::DuplicateApplied)
+    /// Whether a decided proposal is to be applied; if so, call [`Sessions::record_outcome`] after it.
+    pub fn should_apply(&self, origin: &str, proposal: &Proposal) -> bool {
+        !self.is_finished(origin, proposal.life, proposal.ticket)
+            || seeded_faults::is_active(SeededFault::DuplicateApplied)
     }
 
-    pub fn keep(&mut self, origin: &str, proposal: &Proposal, index: u64, outcome: O) {
+    /// Records the outcome of an applied proposal.
+    pub fn record_outcome(&mut self, origin: &str, proposal: &Proposal, index: u64, outcome: O) {
         let lives = self.by_name.entry(origin.into()).or_default();
         let session = lives.entry(proposal.life).or_insert_with(|| Session {
             done: 0,
@@ -62,12 +66,12 @@
         session.done = session.done.max(proposal.done);
         session.outcomes = session.outcomes.split_off(&session.done);
         session.outcomes.insert(proposal.ticket, (index, outcome));
-        if lives.len() > LIVES
+        if lives.len() > MAX_RUNS_PER_NAME
             && let Some(oldest) = lives.iter().min_by_key(|(_, session)| session.last).map(|(life, _)| *life)
         {
             lives.remove(&oldest);
         }
-        if index.is_multiple_of(LOOK_EVERY) {
+        if index.is_multiple_of(EXPIRY_CHECK_INTERVAL) {
             for lives in self.by_name.values_mut() {
                 lives.retain(|_, session| session.last + FORGET_AFTER > index);
             }
--- a/crates/council/src/store.rs
+++ b/crates/council/src/store.rs
@@ -1,5 +1,5 @@
-//! What a seat keeps on disk: by the crate redb, one transaction for each write, so that a crash at any moment leaves
-//! either all of it or nothing. Each record carries a checksum, and the file the version of its format.
+//! Persistent state of a member in a redb database. Each write is one transaction, so that a crash leaves all of it or
+//! nothing. Each record has a checksum, and the file a format version.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -8,107 +8,108 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-use crate::fault::Fault;
+use crate::error::ConsensusError;
 
-/// Version of the file's format.
-pub const FORMAT: u32 = 1;
-/// Name of the file in its folder.
-pub const FILE: &str = "council.redb";
-/// Most memory that redb may use to read and write, in bytes: the log is read once.
-const CACHE: usize = 4 << 20;
-const SUM: usize = 8;
+/// Version of the file format.
+pub const FORMAT_VERSION: u32 = 1;
+/// File name in the store's folder.
+pub const FILE_NAME: &str = "council.redb";
+/// Cache size of redb in bytes; small, since the log is read only once.
+const CACHE_BYTES: usize = 4 << 20;
+/// Bytes of the checksum after each record.
+const CHECKSUM_BYTES: usize = 8;
 
-const FIXED: TableDefinition<&str, &[u8]> = TableDefinition::new("fixed");
-const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
+const VALUES_TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("fixed");
+const LOG_TABLE: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 
-/// What a seat has promised.
+/// Raft's hard state: what a member has promised.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hard {
+pub struct StoredHardState {
     pub term: u64,
-    /// Disk that it votes for in this term; 0: none.
+    /// The disk it voted for in this term; 0 if none.
     pub vote: u64,
     pub commit: u64,
 }
 
-/// An entry of the log.
+/// A log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct LogRecord {
     pub index: u64,
     pub term: u64,
-    /// It changes who sits, as `context` says.
+    /// Whether it changes the membership, as described in `context`.
     pub seating: bool,
     pub data: Vec<u8>,
     pub context: Vec<u8>,
 }
 
-/// The agreed state at one index, in one piece.
+/// Snapshot of the replicated state at an index.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Whole {
+pub struct StateSnapshot {
     pub index: u64,
     pub term: u64,
-    /// Disks that vote, and those that only receive the log so far.
+    /// Disks that vote, and disks that only receive the log so far.
     pub voters: Vec<u64>,
     pub learners: Vec<u64>,
-    /// Names of all that sit, by disk.
+    /// Names of all members, by disk.
     pub roll: BTreeMap<u64, String>,
-    /// Disks that were replaced or removed; they never sit again.
+    /// Disks that were replaced or removed; they never become members again.
     pub retired: BTreeSet<u64>,
-    /// The machine and its sessions; empty: as at the beginning.
+    /// The state machine and its sessions; empty for the initial state.
     pub body: Vec<u8>,
 }
 
-/// All that a disk holds.
+/// Everything that a disk holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Kept {
-    /// The council that it belongs to; 0: none yet.
+pub struct StoredState {
+    /// Id of the cluster that it belongs to; 0: none yet.
     pub council: u64,
-    pub hard: Hard,
-    pub whole: Whole,
+    pub hard: StoredHardState,
+    pub whole: StateSnapshot,
     /// The last entry that was dropped, and its term.
     pub dropped: (u64, u64),
-    pub log: Vec<Record>,
+    pub log: Vec<LogRecord>,
 }
 
-/// What is to be changed on disk, all of it or nothing.
+/// Changes to a disk, written atomically.
 #[derive(Clone, Debug, Default)]
-pub struct Writes {
+pub struct WriteBatch {
     pub council: Option<u64>,
-    pub hard: Option<Hard>,
-    pub whole: Option<Whole>,
-    /// Entries up to this one, of this term, are dropped.
+    pub hard: Option<StoredHardState>,
+    pub whole: Option<StateSnapshot>,
+    /// Index and term up to which entries are removed.
     pub dropped: Option<(u64, u64)>,
-    /// Entries from this index on give way to `entries`.
+    /// Entries from this index on are replaced by `entries`.
     pub from: Option<u64>,
-    pub entries: Vec<Record>,
+    pub entries: Vec<LogRecord>,
 }
 
-/// Where a seat keeps what it must not forget.
+/// Persistent storage of a member.
 pub trait Disk: Send {
-    /// Who this disk is: drawn when it was made, never 0, and never the same on two disks.
+    /// Id of this disk: drawn at random when it was created, never 0, and unique.
     fn id(&self) -> u64;
 
-    /// Reads all.
+    /// Reads the stored state.
     ///
     /// # Errors
-    /// It holds what cannot be read.
-    fn load(&mut self) -> Result<Kept, Fault>;
+    /// The content is invalid.
+    fn load(&mut self) -> Result<StoredState, ConsensusError>;
 
-    /// Writes all of it or nothing; what was written is safe when this returns.
+    /// Writes all changes or none; they are durable when this returns.
     ///
     /// # Errors
-    /// It took no write.
-    fn write(&mut self, writes: &Writes) -> Result<(), Fault>;
+    /// The write failed.
+    fn write(&mut self, writes: &WriteBatch) -> Result<(), ConsensusError>;
 
-    /// Sets aside what it holds, and begins empty, as another disk.
+    /// Moves the content aside and starts empty, as another disk.
     ///
     /// # Errors
-    /// It took no write.
-    fn renew(&mut self) -> Result<(), Fault>;
+    /// The write failed.
+    fn replace(&mut self) -> Result<(), ConsensusError>;
 }
 
-impl Kept {
-    /// Does to it what a disk does.
-    pub fn take(&mut self, writes: &Writes) {
+impl StoredState {
+    /// Applies changes in the same way as a disk.
+    pub fn apply(&mut self, writes: &WriteBatch) {
         self.council = writes.council.unwrap_or(self.council);
         self.hard = writes.hard.unwrap_or(self.hard);
         if let Some(whole) = &writes.whole {
@@ -124,21 +125,21 @@
         }
     }
 
-    /// The disk of one that founds a council alone.
-    pub fn founder(disk: u64, council: u64, name: &str) -> Kept {
-        let whole = Whole {
+    /// Initial state of the first member of a new cluster.
+    pub fn founder(disk: u64, council: u64, name: &str) -> StoredState {
+        let whole = StateSnapshot {
             index: 1,
             term: 1,
             voters: vec![disk],
             roll: BTreeMap::from([(disk, name.into())]),
-            ..Whole::default()
+            ..StateSnapshot::default()
         };
-        let hard = Hard { term: 1, vote: 0, commit: 1 };
-        Kept { council, hard, whole, dropped: (1, 1), log: Vec::new() }
+        let hard = StoredHardState { term: 1, vote: 0, commit: 1 };
+        StoredState { council, hard, whole, dropped: (1, 1), log: Vec::new() }
     }
 
-    fn writes(&self) -> Writes {
-        Writes {
+    fn writes(&self) -> WriteBatch {
+        WriteBatch {
             council: Some(self.council),
             hard: Some(self.hard),
             whole: Some(self.whole.clone()),
@@ -148,296 +149,307 @@
         }
     }
 
-    /// Entries follow each other, and the state reaches them.
-    fn check(&self) -> Result<(), Fault> {
+    /// Checks that entries are contiguous and connect to the snapshot.
+    fn check(&self) -> Result<(), ConsensusError> {
         let follows = self.log.iter().zip(self.dropped.0 + 1..).all(|(record, index)| record.index == index);
         let last = self.dropped.0 + self.log.len() as u64;
         if !follows || self.dropped.0 > self.whole.index || self.whole.index > last || self.hard.commit > last
         {
-            return Err(Fault::Damaged("its log has gaps".into()));
+            return Err(ConsensusError::Damaged("its log has gaps".into()));
         }
         Ok(())
     }
 }
 
-/// A disk in memory.
+/// An in-memory disk.
 #[derive(Clone, Debug)]
-pub struct Memory {
+pub struct MemoryDisk {
     pub id: u64,
-    pub kept: Kept,
+    pub kept: StoredState,
 }
 
-impl Memory {
-    /// An empty one; `id` is not 0.
-    pub fn new(id: u64) -> Memory {
-        Memory { id, kept: Kept::default() }
+impl MemoryDisk {
+    /// Creates an empty disk; `id` must not be 0.
+    pub fn new(id: u64) -> MemoryDisk {
+        MemoryDisk { id, kept: StoredState::default() }
     }
 
-    pub fn founder(id: u64, council: u64, name: &str) -> Memory {
-        Memory { id, kept: Kept::founder(id, council, name) }
+    /// Creates the disk of the first member of a new cluster.
+    pub fn founder(id: u64, council: u64, name: &str) -> MemoryDisk {
+        MemoryDisk { id, kept: StoredState::founder(id, council, name) }
     }
 }
 
-impl Disk for Memory {
+impl Disk for MemoryDisk {
     fn id(&self) -> u64 {
         self.id
     }
 
-    fn load(&mut self) -> Result<Kept, Fault> {
+    fn load(&mut self) -> Result<StoredState, ConsensusError> {
         Ok(self.kept.clone())
     }
 
-    fn write(&mut self, writes: &Writes) -> Result<(), Fault> {
-        self.kept.take(writes);
+    fn write(&mut self, writes: &WriteBatch) -> Result<(), ConsensusError> {
+        self.kept.apply(writes);
         Ok(())
     }
 
-    fn renew(&mut self) -> Result<(), Fault> {
-        *self = Memory::new(draw()?);
+    fn replace(&mut self) -> Result<(), ConsensusError> {
+        *self = MemoryDisk::new(draw_id()?);
         Ok(())
     }
 }
 
-/// A number that nobody else draws.
-fn draw() -> Result<u64, Fault> {
-    let drawn = getrandom::u64().map_err(|cause| Fault::Write(cause.to_string()))?;
+/// Draws a unique id.
+fn draw_id() -> Result<u64, ConsensusError> {
+    let drawn = getrandom::u64().map_err(|cause| ConsensusError::Write(cause.to_string()))?;
     Ok(drawn.max(1))
 }
 
-/// A disk in a file of redb.
-pub struct File {
+/// A disk in a redb file.
+pub struct FileDisk {
     folder: PathBuf,
-    base: Option<Database>,
+    database: Option<Database>,
     id: u64,
 }
 
-fn sealed<T: Serialize>(value: &T) -> Result<Vec<u8>, Fault> {
-    let mut bytes = postcard::to_stdvec(value).map_err(|cause| Fault::Write(cause.to_string()))?;
+fn encode_checked<T: Serialize>(value: &T) -> Result<Vec<u8>, ConsensusError> {
+    let mut bytes = postcard::to_stdvec(value).map_err(|cause| ConsensusError::Write(cause.to_string()))?;
     let sum = blake3::hash(&bytes);
-    bytes.extend_from_slice(&sum.as_bytes()[..SUM]);
+    bytes.extend_from_slice(&sum.as_bytes()[..CHECKSUM_BYTES]);
     Ok(bytes)
 }
 
-fn unsealed<T: DeserializeOwned>(what: &str, bytes: &[u8]) -> Result<T, Fault> {
-    let damaged = || Fault::Damaged(format!("{what} does not match its checksum"));
-    let (bytes, sum) = bytes.split_at_checked(bytes.len().wrapping_sub(SUM)).ok_or_else(damaged)?;
-    if blake3::hash(bytes).as_bytes()[..SUM] != *sum {
+fn decode_checked<T: DeserializeOwned>(what: &str, bytes: &[u8]) -> Result<T, ConsensusError> {
+    let damaged = || ConsensusError::Damaged(format!("{what} does not match its checksum"));
+    let (bytes, sum) =
+        bytes.split_at_checked(bytes.len().wrapping_sub(CHECKSUM_BYTES)).ok_or_else(damaged)?;
+    if blake3::hash(bytes).as_bytes()[..CHECKSUM_BYTES] != *sum {
         return Err(damaged());
     }
-    postcard::from_bytes(bytes).map_err(|cause| Fault::Damaged(format!("{what}: {cause}")))
+    postcard::from_bytes(bytes).map_err(|cause| ConsensusError::Damaged(format!("{what}: {cause}")))
 }
 
-fn unwritten(cause: impl std::fmt::Display) -> Fault {
-    Fault::Write(cause.to_string())
+fn write_error(cause: impl std::fmt::Display) -> ConsensusError {
+    ConsensusError::Write(cause.to_string())
 }
 
-fn damaged(cause: impl std::fmt::Display) -> Fault {
-    Fault::Damaged(cause.to_string())
+fn damaged_error(cause: impl std::fmt::Display) -> ConsensusError {
+    ConsensusError::Damaged(cause.to_string())
 }
 
-impl File {
-    fn create(folder: &Path, kept: impl FnOnce(u64, u64) -> Kept) -> Result<File, Fault> {
-        let path = folder.join(FILE);
-        let closed =
-            |cause: &dyn std::fmt::Display| Fault::Closed { path: path.clone(), cause: cause.to_string() };
+impl FileDisk {
+    fn create(folder: &Path, kept: impl FnOnce(u64, u64) -> StoredState) -> Result<FileDisk, ConsensusError> {
+        let path = folder.join(FILE_NAME);
+        let closed = |cause: &dyn std::fmt::Display| ConsensusError::CannotOpen {
+            path: path.clone(),
+            cause: cause.to_string(),
+        };
         std::fs::create_dir_all(folder).map_err(|cause| closed(&cause))?;
-        // It gets its name only when it is whole: a crash in between leaves nothing that could be taken for damaged.
-        let unfinished = folder.join(format!("{FILE}.new"));
+        // The file is renamed only once it is complete: a crash before leaves nothing that looks damaged.
+        let unfinished = folder.join(format!("{FILE_NAME}.new"));
         if unfinished.exists() {
             std::fs::remove_file(&unfinished).map_err(|cause| closed(&cause))?;
         }
-        let base =
-            redb::Builder::new().set_cache_size(CACHE).create(&unfinished).map_err(|cause| closed(&cause))?;
-        let mut file = File { folder: folder.into(), base: Some(base), id: draw()? };
-        file.put(&kept(file.id, draw()?).writes(), true)?;
-        file.base = None;
+        let base = redb::Builder::new()
+            .set_cache_size(CACHE_BYTES)
+            .create(&unfinished)
+            .map_err(|cause| closed(&cause))?;
+        let mut file = FileDisk { folder: folder.into(), database: Some(base), id: draw_id()? };
+        file.write_batch(&kept(file.id, draw_id()?).writes(), true)?;
+        file.database = None;
         std::fs::rename(&unfinished, &path).map_err(|cause| closed(&cause))?;
-        // The name must outlive a crash too: whoever has a seat never forgets that it had one.
+        // The rename must be durable too: a member never forgets that it was one.
         std::fs::File::open(folder).and_then(|dir| dir.sync_all()).map_err(|cause| closed(&cause))?;
-        File::open(folder)
+        FileDisk::open(folder)
     }
 
-    fn open(folder: &Path) -> Result<File, Fault> {
-        let path = folder.join(FILE);
-        // Without the check redb panics where bytes of a file that was closed cleanly have changed.
+    fn open(folder: &Path) -> Result<FileDisk, ConsensusError> {
+        let path = folder.join(FILE_NAME);
+        // Without this check redb panics if bytes of a cleanly closed file have changed.
         let base = redb::Builder::new()
-            .set_cache_size(CACHE)
+            .set_cache_size(CACHE_BYTES)
             .set_check_integrity_on_open(true)
             .open(&path)
             .map_err(|cause| match cause {
-            redb::DatabaseError::Storage(redb::StorageError::Corrupted(cause)) => Fault::Damaged(cause),
-            redb::DatabaseError::Storage(redb::StorageError::Io(cause))
-                if cause.kind() == std::io::ErrorKind::InvalidData
-                    || cause.kind() == std::io::ErrorKind::UnexpectedEof =>
-            {
-                Fault::Damaged(cause.to_string())
-            }
-            redb::DatabaseError::UpgradeRequired(format) => {
-                Fault::Damaged(format!("a file of redb's format {format}"))
-            }
-            cause => Fault::Closed { path: path.clone(), cause: cause.to_string() },
-        })?;
-        let mut file = File { folder: folder.into(), base: Some(base), id: 0 };
+                redb::DatabaseError::Storage(redb::StorageError::Corrupted(cause)) => {
+                    ConsensusError::Damaged(cause)
+                }
+                redb::DatabaseError::Storage(redb::StorageError::Io(cause))
+                    if cause.kind() == std::io::ErrorKind::InvalidData
+                        || cause.kind() == std::io::ErrorKind::UnexpectedEof =>
+                {
+                    ConsensusError::Damaged(cause.to_string())
+                }
+                redb::DatabaseError::UpgradeRequired(format) => {
+                    ConsensusError::Damaged(format!("a file of redb's format {format}"))
+                }
+                cause => ConsensusError::CannotOpen { path: path.clone(), cause: cause.to_string() },
+            })?;
+        let mut file = FileDisk { folder: folder.into(), database: Some(base), id: 0 };
         let format = u32::from_le_bytes(
-            file.fixed_bytes("format")?
+            file.read_value_bytes("format")?
                 .try_into()
-                .map_err(|_| Fault::Damaged("the version of its format is missing".into()))?,
+                .map_err(|_| ConsensusError::Damaged("the version of its format is missing".into()))?,
         );
-        if format != FORMAT {
-            return Err(Fault::Newer { found: format, known: FORMAT });
+        if format != FORMAT_VERSION {
+            return Err(ConsensusError::UnknownFormat { found: format, known: FORMAT_VERSION });
         }
-        file.id = unsealed("disk", &file.fixed_bytes("disk")?)?;
+        file.id = decode_checked("disk", &file.read_value_bytes("disk")?)?;
         file.load()?;
         Ok(file)
     }
 
-    fn base(&self) -> Result<&Database, Fault> {
-        self.base.as_ref().ok_or_else(|| Fault::Write("the file is closed".into()))
+    fn database(&self) -> Result<&Database, ConsensusError> {
+        self.database.as_ref().ok_or_else(|| ConsensusError::Write("the file is closed".into()))
     }
 
-    fn fixed_bytes(&self, name: &str) -> Result<Vec<u8>, Fault> {
-        let read = self.base()?.begin_read().map_err(damaged)?;
-        let fixed = read.open_table(FIXED).map_err(damaged)?;
-        let found = fixed.get(name).map_err(damaged)?;
-        found.map(|bytes| bytes.value().to_vec()).ok_or_else(|| damaged(format_args!("{name} is missing")))
+    fn read_value_bytes(&self, name: &str) -> Result<Vec<u8>, ConsensusError> {
+        let read = self.database()?.begin_read().map_err(damaged_error)?;
+        let fixed = read.open_table(VALUES_TABLE).map_err(damaged_error)?;
+        let found = fixed.get(name).map_err(damaged_error)?;
+        found
+            .map(|bytes| bytes.value().to_vec())
+            .ok_or_else(|| damaged_error(format_args!("{name} is missing")))
     }
 
-    fn fixed<T: DeserializeOwned>(&self, name: &str) -> Result<T, Fault> {
-        unsealed(name, &self.fixed_bytes(name)?)
+    fn read_value<T: DeserializeOwned>(&self, name: &str) -> Result<T, ConsensusError> {
+        decode_checked(name, &self.read_value_bytes(name)?)
     }
 
-    fn put(&self, writes: &Writes, first: bool) -> Result<(), Fault> {
-        let write = self.base()?.begin_write().map_err(unwritten)?;
+    fn write_batch(&self, writes: &WriteBatch, first: bool) -> Result<(), ConsensusError> {
+        let write = self.database()?.begin_write().map_err(write_error)?;
         {
-            let mut fixed = write.open_table(FIXED).map_err(unwritten)?;
+            let mut fixed = write.open_table(VALUES_TABLE).map_err(write_error)?;
             let mut set = |name: &str, bytes: Vec<u8>| {
-                fixed.insert(name, bytes.as_slice()).map(|_| ()).map_err(unwritten)
+                fixed.insert(name, bytes.as_slice()).map(|_| ()).map_err(write_error)
             };
             if first {
-                set("format", FORMAT.to_le_bytes().to_vec())?;
-                set("disk", sealed(&self.id)?)?;
+                set("format", FORMAT_VERSION.to_le_bytes().to_vec())?;
+                set("disk", encode_checked(&self.id)?)?;
             }
             if let Some(council) = &writes.council {
-                set("council", sealed(council)?)?;
+                set("council", encode_checked(council)?)?;
             }
             if let Some(hard) = &writes.hard {
-                set("hard", sealed(hard)?)?;
+                set("hard", encode_checked(hard)?)?;
             }
             if let Some(whole) = &writes.whole {
-                set("whole", sealed(whole)?)?;
+                set("whole", encode_checked(whole)?)?;
             }
             if let Some(dropped) = &writes.dropped {
-                set("dropped", sealed(dropped)?)?;
+                set("dropped", encode_checked(dropped)?)?;
             }
-            let mut log = write.open_table(LOG).map_err(unwritten)?;
+            let mut log = write.open_table(LOG_TABLE).map_err(write_error)?;
             if let Some(from) = writes.from {
-                log.retain_in(from.., |_, _| false).map_err(unwritten)?;
+                log.retain_in(from.., |_, _| false).map_err(write_error)?;
             }
             for record in &writes.entries {
-                log.insert(record.index, sealed(record)?.as_slice()).map_err(unwritten)?;
+                log.insert(record.index, encode_checked(record)?.as_slice()).map_err(write_error)?;
             }
             if let Some((upto, _)) = writes.dropped {
-                log.retain_in(..=upto, |_, _| false).map_err(unwritten)?;
+                log.retain_in(..=upto, |_, _| false).map_err(write_error)?;
             }
         }
-        write.commit().map_err(unwritten)
+        write.commit().map_err(write_error)
     }
 
-    /// Gives the file another name, which tells why.
-    fn set_aside(folder: &Path, why: &str) -> Result<PathBuf, Fault> {
-        let path = folder.join(FILE);
+    /// Renames the file; the new name contains the reason.
+    fn move_aside(folder: &Path, why: &str) -> Result<PathBuf, ConsensusError> {
+        let path = folder.join(FILE_NAME);
         let aside = (1u32..)
-            .map(|count| folder.join(format!("{FILE}.{why}-{count}")))
+            .map(|count| folder.join(format!("{FILE_NAME}.{why}-{count}")))
             .find(|aside| !aside.exists())
-            .unwrap_or_else(|| folder.join(format!("{FILE}.{why}")));
-        std::fs::rename(&path, &aside).map_err(|cause| Fault::Closed { path, cause: cause.to_string() })?;
+            .unwrap_or_else(|| folder.join(format!("{FILE_NAME}.{why}")));
+        std::fs::rename(&path, &aside)
+            .map_err(|cause| ConsensusError::CannotOpen { path, cause: cause.to_string() })?;
         Ok(aside)
     }
 }
 
-impl Disk for File {
+impl Disk for FileDisk {
     fn id(&self) -> u64 {
         self.id
     }
 
-    fn load(&mut self) -> Result<Kept, Fault> {
-        let (council, hard) = (self.fixed("council")?, self.fixed("hard")?);
-        let (whole, dropped) = (self.fixed("whole")?, self.fixed("dropped")?);
-        let read = self.base()?.begin_read().map_err(damaged)?;
-        let log = read.open_table(LOG).map_err(damaged)?;
-        let log = log.iter().map_err(damaged)?.map(|found| {
-            let (index, bytes) = found.map_err(damaged)?;
-            unsealed(&format!("entry {}", index.value()), bytes.value())
+    fn load(&mut self) -> Result<StoredState, ConsensusError> {
+        let (council, hard) = (self.read_value("council")?, self.read_value("hard")?);
+        let (whole, dropped) = (self.read_value("whole")?, self.read_value("dropped")?);
+        let read = self.database()?.begin_read().map_err(damaged_error)?;
+        let log = read.open_table(LOG_TABLE).map_err(damaged_error)?;
+        let log = log.iter().map_err(damaged_error)?.map(|found| {
+            let (index, bytes) = found.map_err(damaged_error)?;
+            decode_checked(&format!("entry {}", index.value()), bytes.value())
         });
-        let kept = Kept { council, hard, whole, dropped, log: log.collect::<Result<_, Fault>>()? };
+        let kept =
+            StoredState { council, hard, whole, dropped, log: log.collect::<Result<_, ConsensusError>>()? };
         kept.check()?;
         Ok(kept)
     }
 
-    fn write(&mut self, writes: &Writes) -> Result<(), Fault> {
-        self.put(writes, false)
+    fn write(&mut self, writes: &WriteBatch) -> Result<(), ConsensusError> {
+        self.write_batch(writes, false)
     }
 
-    fn renew(&mut self) -> Result<(), Fault> {
-        self.base = None;
-        File::set_aside(&self.folder, "replaced")?;
-        *self = File::create(&self.folder.clone(), |_, _| Kept::default())?;
+    fn replace(&mut self) -> Result<(), ConsensusError> {
+        self.database = None;
+        FileDisk::move_aside(&self.folder, "replaced")?;
+        *self = FileDisk::create(&self.folder.clone(), |_, _| StoredState::default())?;
         Ok(())
     }
 }
 
-/// Makes a disk in `folder` that founds a council of one, `name`.
+/// Creates the disk of the first member, `name`, of a new cluster.
 ///
 /// # Errors
-/// The folder cannot be written, or there is a disk already.
-pub fn found(folder: &Path, name: &str) -> Result<(), Fault> {
-    let path = folder.join(FILE);
+/// The folder cannot be written, or already has a disk.
+pub fn create_cluster(folder: &Path, name: &str) -> Result<(), ConsensusError> {
+    let path = folder.join(FILE_NAME);
     if path.exists() {
-        return Err(Fault::Founded { path });
+        return Err(ConsensusError::AlreadyExists { path });
     }
-    File::create(folder, |disk, council| Kept::founder(disk, council, name)).map(drop)
+    FileDisk::create(folder, |disk, council| StoredState::founder(disk, council, name)).map(drop)
 }
 
-/// Makes the disk in `folder`, whose council has lost the majority of its disks for good, that of another council,
-/// which `name` founds alone with all that this disk holds. What only the lost ones held is lost; of several disks
-/// that are left the one that is decided furthest is to be taken, and the others are set aside.
+/// Recovers a cluster that has lost the majority of its disks for good: turns the disk in `folder` into that of a new
+/// cluster with `name` as its only member and all that this disk holds. Data held only by the lost disks is lost. Of
+/// several remaining disks, choose the one with the highest commit index and move the others aside.
 ///
 /// # Errors
-/// There is no disk that has sat, or it cannot be read or written.
-pub fn refound(folder: &Path, name: &str) -> Result<(), Fault> {
-    let mut file = File::open(folder)?;
+/// There is no disk that was a member, or it cannot be read or written.
+pub fn recover_cluster(folder: &Path, name: &str) -> Result<(), ConsensusError> {
+    let mut file = FileDisk::open(folder)?;
     let mut kept = file.load()?;
     if kept.council == 0 {
-        return Err(Fault::Stranger { path: folder.join(FILE) });
+        return Err(ConsensusError::NeverMember { path: folder.join(FILE_NAME) });
     }
-    kept.council = draw()?;
+    kept.council = draw_id()?;
     (kept.whole.voters, kept.whole.learners) = (vec![file.id], Vec::new());
     kept.whole.roll = BTreeMap::from([(file.id, name.into())]);
     for record in kept.log.iter_mut().filter(|record| record.seating) {
-        // Nobody else is seated by what the log says of the other council.
-        *record = Record { seating: false, data: Vec::new(), context: Vec::new(), ..record.clone() };
+        // Membership changes of the old cluster in the log have no effect.
+        *record = LogRecord { seating: false, data: Vec::new(), context: Vec::new(), ..record.clone() };
     }
     file.write(&kept.writes())
 }
 
-/// A file that was set aside: where it is now, and why.
-pub type Aside = (PathBuf, Fault);
+/// A file that was moved aside: its new path and the reason.
+pub type MovedAside = (PathBuf, ConsensusError);
 
-/// Opens the disk in `folder`, or makes an empty one: a stranger's. One that is damaged, or of another format than this
-/// program's, is set aside under another name, which is given back with the reason.
-///
+/// Opens the disk in `folder`, or creates an empty one, which is not a member. A damaged file, or one of another format
+/// version, is moved aside and returned with the reason.
 /// # Errors
 /// The folder cannot be written, or another process has the file open.
-pub fn open(folder: &Path) -> Result<(File, Option<Aside>), Fault> {
-    if !folder.join(FILE).exists() {
-        return Ok((File::create(folder, |_, _| Kept::default())?, None));
+pub fn open(folder: &Path) -> Result<(FileDisk, Option<MovedAside>), ConsensusError> {
+    if !folder.join(FILE_NAME).exists() {
+        return Ok((FileDisk::create(folder, |_, _| StoredState::default())?, None));
     }
-    let (fault, why) = match File::open(folder) {
+    let (fault, why) = match FileDisk::open(folder) {
         Ok(file) => return Ok((file, None)),
-        Err(fault @ Fault::Damaged(_)) => (fault, "damaged"),
-        Err(fault @ Fault::Newer { .. }) => (fault, "newer"),
+        Err(fault @ ConsensusError::Damaged(_)) => (fault, "damaged"),
+        Err(fault @ ConsensusError::UnknownFormat { .. }) => (fault, "newer"),
         Err(fault) => return Err(fault),
     };
-    let aside = File::set_aside(folder, why)?;
-    Ok((File::create(folder, |_, _| Kept::default())?, Some((aside, fault))))
+    let aside = FileDisk::move_aside(folder, why)?;
+    Ok((FileDisk::create(folder, |_, _| StoredState::default())?, Some((aside, fault))))
 }
--- a/crates/council/src/wire.rs
+++ b/crates/council/src/wire.rs
@@ -1,66 +1,71 @@
-//! What members tell each other. Bodies are postcard; protobuf, which the crate raft is built with, never reads what
-//! came over the network.
+//! Messages between members. Encoded with postcard; protobuf, a dependency of the crate `raft`, never parses input from
+//! the network.
 
 use raft::prelude::{Entry, EntryType, Message, MessageType};
 use serde::{Deserialize, Serialize};
 
-use crate::store::{Record, Whole};
+use crate::store::{LogRecord, StateSnapshot};
 
-/// Version of the messages.
-pub const VERSION: u8 = 1;
+/// Version of the message format.
+pub const MESSAGE_VERSION: u8 = 1;
 
+/// A message with its version and cluster.
 #[derive(Serialize, Deserialize)]
 pub struct Envelope<C> {
     pub version: u8,
-    /// The council that the sender belongs to; 0: to none yet.
+    /// Cluster of the sender; 0 if it has none yet.
     pub council: u64,
     pub body: Body<C>,
 }
 
+/// Content of a message.
 #[derive(Serialize, Deserialize)]
 pub enum Body<C> {
-    Raft(Raft),
-    /// A whole state waits for the receiver, of so many bytes: it is to ask for them.
+    Raft(RaftMessage),
+    /// Offers a snapshot of this many bytes, which the receiver requests in parts.
     Offer {
-        raft: Raft,
-        whole: Whole,
+        raft: RaftMessage,
+        whole: StateSnapshot,
         bytes: u64,
     },
-    /// Wants the state of this index and term from this byte on.
+    /// Requests the snapshot of this index and term from this byte on.
     Want {
         index: u64,
         term: u64,
         from: u64,
     },
+    /// A part of a snapshot.
     Part {
         index: u64,
         term: u64,
         from: u64,
         bytes: Vec<u8>,
     },
-    /// A disk without a seat asks for one.
+    /// A disk that is not a member asks to join.
     Knock {
         disk: u64,
     },
-    /// This disk was replaced by another one.
+    /// Tells a disk that it was replaced.
     Replaced {
         disk: u64,
     },
-    /// Proposals, and who first made them.
+    /// Forwards proposals of `origin`.
     Carry {
         origin: String,
         proposals: Vec<Proposal>,
     },
-    /// An entry was decided.
+    /// Reports the outcome of a proposal.
     Decided {
         life: u64,
         ticket: u64,
         index: u64,
         outcome: Vec<u8>,
     },
+    /// Requests changes of the state after an index.
     Fetch {
         since: u64,
     },
+    /// Changes of the state, with the current membership.
     Changes {
         since: u64,
         whole: u64,
@@ -71,26 +76,26 @@
     },
 }
 
-/// An entry on its way, told from all others by origin, life and ticket.
+/// A proposed entry, identified by origin, process run and ticket.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Proposal {
     pub life: u64,
     pub ticket: u64,
-    /// All tickets below are over for their origin.
+    /// The origin no longer waits for lower tickets.
     pub done: u64,
     pub entry: Vec<u8>,
 }
 
-/// A message of Raft, without a whole state.
+/// A Raft message without a snapshot.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Raft {
+pub struct RaftMessage {
     kind: u8,
     pub to: u64,
     pub from: u64,
     pub term: u64,
     log_term: u64,
     pub index: u64,
-    entries: Vec<Record>,
+    entries: Vec<LogRecord>,
     pub commit: u64,
     commit_term: u64,
     request_snapshot: u64,
@@ -98,12 +103,12 @@
     reject_hint: u64,
     context: Vec<u8>,
     priority: i64,
-    /// Decided entries that the receiver's disk has said to hold, to its sender, in whichever term.
+    /// Committed index that the receiver's disk has acknowledged to this sender, in any term.
     pub vouched: u64,
 }
 
-/// The kinds that travel, by their number.
-const KINDS: [MessageType; 12] = [
+/// Message types sent over the network, by their number.
+const MESSAGE_TYPES: [MessageType; 12] = [
     MessageType::MsgAppend,
     MessageType::MsgAppendResponse,
     MessageType::MsgRequestVote,
@@ -118,18 +123,18 @@
     MessageType::MsgRequestPreVoteResponse,
 ];
 
-impl Raft {
-    /// `None`: a kind that does not travel.
-    pub fn of(message: &Message) -> Option<Raft> {
-        let kind = KINDS.iter().position(|kind| *kind == message.get_msg_type())? as u8;
-        Some(Raft {
+impl RaftMessage {
+    /// Converts a message of the crate `raft`; `None` if its type is never sent.
+    pub fn from_message(message: &Message) -> Option<RaftMessage> {
+        let kind = MESSAGE_TYPES.iter().position(|kind| *kind == message.get_msg_type())? as u8;
+        Some(RaftMessage {
             kind,
             to: message.to,
             from: message.from,
             term: message.term,
             log_term: message.log_term,
             index: message.index,
-            entries: message.entries.iter().map(Record::of).collect(),
+            entries: message.entries.iter().map(LogRecord::of).collect(),
             commit: message.commit,
             commit_term: message.commit_term,
             request_snapshot: message.request_snapshot,
@@ -141,13 +146,14 @@
         })
     }
 
-    pub fn kind(&self) -> Option<MessageType> {
-        KINDS.get(usize::from(self.kind)).copied()
+    /// The message type; `None` if unknown.
+    pub fn message_type(&self) -> Option<MessageType> {
+        MESSAGE_TYPES.get(usize::from(self.kind)).copied()
     }
 
-    /// `None`: of a kind that this program does not know.
-    pub fn message(self) -> Option<Message> {
-        let kind = self.kind()?;
+    /// Converts to a message of the crate `raft`; `None` if the type is unknown.
+    pub fn into_message(self) -> Option<Message> {
+        let kind = self.message_type()?;
         let mut message = Message::default();
         message.set_msg_type(kind);
         message.to = self.to;
@@ -155,7 +161,7 @@
         message.term = self.term;
         message.log_term = self.log_term;
         message.index = self.index;
-        message.set_entries(self.entries.into_iter().map(Record::entry).collect::<Vec<Entry>>().into());
+        message.set_entries(self.entries.into_iter().map(LogRecord::entry).collect::<Vec<Entry>>().into());
         message.commit = self.commit;
         message.commit_term = self.commit_term;
         message.request_snapshot = self.request_snapshot;
@@ -167,9 +173,9 @@
     }
 }
 
-impl Record {
-    pub fn of(entry: &Entry) -> Record {
-        Record {
+impl LogRecord {
+    pub fn of(entry: &Entry) -> LogRecord {
+        LogRecord {
             index: entry.index,
             term: entry.term,
             seating: entry.get_entry_type() != EntryType::EntryNormal,
@@ -188,12 +194,12 @@
     }
 }
 
-/// Term, the disk that votes, and for which one: by an answer, or by asking for votes itself.
+/// Term, voting disk, and the disk it votes for, in a vote or a request for votes.
 #[cfg(feature = "slips")]
 pub fn vote(bytes: &[u8]) -> Option<(u64, u64, u64)> {
     let envelope: Envelope<()> = postcard::from_bytes(bytes).ok()?;
     let Body::Raft(raft) = envelope.body else { return None };
-    match raft.kind()? {
+    match raft.message_type()? {
         MessageType::MsgRequestVote => Some((raft.term, raft.from, raft.from)),
         MessageType::MsgRequestVoteResponse if !raft.reject => Some((raft.term, raft.from, raft.to)),
         _ => None,
--- a/crates/council/tests/council/calm.rs
+++ b/crates/council/tests/council/calm.rs
@@ -1,4 +1,4 @@
-//! Without faults.
+//! Operation without faults.
 
 use crate::net::*;
 
--- a/crates/council/tests/council/faults.rs
+++ b/crates/council/tests/council/faults.rs
@@ -1,27 +1,27 @@
-//! Whatever the network, the disks and the processes do: one decision at one index, nothing acknowledged is lost,
-//! nothing is applied twice.
+//! Under any faults of network, disks and processes: one decision per index, no acknowledged entry is lost, none is
+//! applied twice.
 
-use tansyjunction_council::store::Memory;
-use tansyjunction_council::{News, Role, Terms};
+use tansyjunction_council::store::MemoryDisk;
+use tansyjunction_council::{ConsensusConfig, MemberEvent, Role};
 
 use crate::net::*;
 
-/// Faults of all kinds for `seconds`, then all is healed. `Err`: what broke.
+/// Injects faults of all kinds for `seconds`, then ends all of them. `Err`: the violated guarantee.
 pub fn storm(seed: u64, seats: usize, seconds: u64) -> Result<Net, Vec<Broken>> {
-    let terms = Terms { compact_after: 40, datagram: 1_500, ..terms(seats) };
+    let terms = ConsensusConfig { compact_after: 40, max_message_bytes: 1_500, ..terms(seats) };
     let mut net = Net::new(seed, terms, seats, 2);
     net.gathered(seats);
     (net.loss, net.doubles, net.delay) = (0.3, 0.1, (500, 30_000));
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
     let all = seats + 2;
-    // In some storms one seat loses its disk again and again, and finds it back.
+    // In some runs one member loses its disk repeatedly and finds it again.
     let (loser, mut lost) = (rng.usize(0..seats), None);
     let losing = seed.is_multiple_of(3);
     for _ in 0..seconds * 10 {
         let (number, now) = (rng.usize(0..seats), net.now);
         match rng.u32(0..100) {
             0..4 => {
-                // The leader is cut off one way, from some or from all.
+                // The leader is partitioned in one direction, from some or all.
                 let leader = net.leader().unwrap_or(number);
                 for other in 0..all {
                     match rng.u32(0..5) {
@@ -46,7 +46,7 @@
             26 => (0..all).for_each(|number| net.kill(number, now + rng.u64(0..SECOND))),
             27..29 => net.loss = [0.0, 0.3, 0.5][rng.usize(0..3)],
             29 if losing => {
-                let newer = Memory::new(1_000_000 + now);
+                let newer = MemoryDisk::new(1_000_000 + now);
                 net.kill(loser, now + SECOND);
                 let old = net.plate(loser, |plate| std::mem::replace(&mut plate.memory, newer));
                 lost.get_or_insert(old);
@@ -90,7 +90,7 @@
     }
 }
 
-/// The same seed is the same run, to the last byte.
+/// The same seed gives the same run, byte by byte.
 #[test]
 fn a_run_can_be_repeated() {
     let run = || {
@@ -100,10 +100,10 @@
     assert_eq!(run(), run());
 }
 
-/// A seat crashes at its k-th write, before or after it, and comes back; for each k from the start of an empty council
-/// through elections, seating, entries and compaction.
+/// A member crashes before or after its k-th write and restarts, for each k from an empty cluster through elections,
+/// membership changes, entries and compaction.
 pub fn crash_at(number: usize, after: u64, written: bool, seed: u64) -> Result<bool, Vec<Broken>> {
-    let terms = Terms { compact_after: 10, ..terms(3) };
+    let terms = ConsensusConfig { compact_after: 10, ..terms(3) };
     let mut net = Net::new(seed, terms, 3, 1);
     net.plate(number, |plate| plate.crash = Some(Crash { after, written, votes: false }));
     net.loss = 0.1;
@@ -111,7 +111,7 @@
         let proposer = round % 4;
         net.propose(proposer, 20);
         if round == 12 || round == 20 {
-            // Leaders change, by a cut one way, so that votes are written too.
+            // One-way partitions change the leader, so that votes are written too.
             if let Some(leader) = net.leader() {
                 net.cut.extend((0..4).map(|other| (leader, other)));
             }
@@ -143,8 +143,8 @@
     assert!(crashes > 150, "{crashes} crashes");
 }
 
-/// The founder loses its disk, and with it what it has vouched for: it comes back as a stranger and is seated anew,
-/// and the others go on. Its old disk, put back later, never sits again.
+/// The first member loses its disk with all its acknowledgements: it joins anew and the others continue. Its old disk,
+/// put back later, never becomes a member again.
 #[test]
 fn a_lost_disk_comes_back_as_a_new_one() {
     for seed in 0..6 {
@@ -155,7 +155,7 @@
         net.run_for(SECOND);
         let (old, now) = (net.copy(number), net.now);
         net.kill(number, u64::MAX);
-        net.plate(number, |plate| plate.memory = Memory::new(5_000 + seed));
+        net.plate(number, |plate| plate.memory = MemoryDisk::new(5_000 + seed));
         net.run(now + 2 * SECOND);
         net.start(number);
         assert_eq!(net.council(number).status().role, Role::Stranger);
@@ -175,7 +175,7 @@
         net.start(number);
         net.run_for(3 * SECOND);
         let council = net.nodes[number].council.as_mut().expect("it is up");
-        assert!(council.take_news().contains(&News::Replaced), "seed {seed}");
+        assert!(council.take_events().contains(&MemberEvent::DiskReplaced), "seed {seed}");
         assert!(council.status().disk != old.id);
         net.sits(number, 3);
         let sits = net.council(number).status().disk;
@@ -185,8 +185,8 @@
     }
 }
 
-/// On a busy machine whoever leads stands still for some beats now and then. What it could not hear meanwhile counts
-/// for nobody's silence, and all else does: a disk that is gone is replaced, though no five seconds pass without such
+/// On a busy machine leaders pause for some heartbeats now and then. Silence during a pause does not count, all other
+/// does: a lost disk is replaced although no five seconds pass without such a pause.
 /// a pause.
 #[test]
 fn a_lost_disk_is_replaced_by_leaders_that_stand_still_now_and_then() {
@@ -195,7 +195,7 @@
         net.gathered(3);
         let number = (net.leader().expect("a leader") + 1) % 3;
         net.kill(number, u64::MAX);
-        net.plate(number, |plate| plate.memory = Memory::new(5_000 + seed));
+        net.plate(number, |plate| plate.memory = MemoryDisk::new(5_000 + seed));
         net.start(number);
         for _ in 0..16 {
             if let Some(leader) = net.leader() {
@@ -210,7 +210,7 @@
     }
 }
 
-/// An older copy of a disk that still sits is found out before it promises anything a second time.
+/// An older copy of a member's disk is detected before it promises anything a second time.
 #[test]
 fn an_older_copy_of_a_disk_is_found_out() {
     let mut net = Net::new(9, terms(3), 3, 0);
@@ -247,7 +247,7 @@
     }
 }
 
-/// The leader hears everybody and nobody hears it, or the other way round: another one leads within a few seconds.
+/// The leader receives from all but reaches none, or the reverse: another one is elected within a few seconds.
 #[test]
 fn a_leader_cut_off_one_way_is_followed_by_another() {
     for (seed, deaf) in [(1, false), (2, true), (3, false), (4, true)] {
@@ -260,13 +260,13 @@
         let value = net.propose((leader + 1) % 3, 10);
         net.run_for(SECOND);
         assert!(net.judge.acknowledged.contains_key(&value), "seed {seed}");
-        assert!(!net.council(leader).leads(), "it has noticed");
+        assert!(!net.council(leader).is_leader(), "it has noticed");
         net.heal();
         assert_eq!(net.judge.broken, [], "seed {seed}");
     }
 }
 
-/// A proposal that nobody decides is given up, and said so.
+/// A proposal that cannot be decided is abandoned and reported.
 #[test]
 fn without_a_majority_nothing_is_decided() {
     let mut net = Net::new(1, terms(3), 3, 1);
@@ -278,16 +278,16 @@
     let from = [net.propose(leader, 10), net.propose(3, 10)];
     net.run_for(6 * SECOND);
     assert!(from.iter().all(|value| !net.judge.acknowledged.contains_key(value)));
-    assert!(!net.council(leader).leads());
+    assert!(!net.council(leader).is_leader());
     assert_eq!(net.given_up, 2);
     net.heal();
     assert_eq!(net.judge.broken, []);
 }
 
-/// The log is bounded; one that is behind further than the log reaches is given the whole state, in parts.
+/// The log is bounded; a member that is behind its start receives a snapshot in parts.
 #[test]
 fn compaction_bounds_the_log_and_who_is_far_behind_catches_up() {
-    let terms = Terms { compact_after: 50, datagram: 2_000, ..terms(3) };
+    let terms = ConsensusConfig { compact_after: 50, max_message_bytes: 2_000, ..terms(3) };
     let mut net = Net::new(4, terms, 3, 1);
     net.gathered(3);
     net.run_for(SECOND);
@@ -312,10 +312,10 @@
     assert_eq!(net.judge.broken, []);
 }
 
-/// A follower learns from changes, in parts where they are many, whatever is lost.
+/// A follower is updated by changes, split into parts, whatever messages are lost.
 #[test]
 fn a_follower_catches_up_from_changes() {
-    let terms = Terms { datagram: 1_500, ..terms(3) };
+    let terms = ConsensusConfig { max_message_bytes: 1_500, ..terms(3) };
     let mut net = Net::new(4, terms, 3, 0);
     net.gathered(3);
     for _ in 0..500 {
@@ -330,7 +330,7 @@
     assert_eq!(net.judge.broken, []);
 }
 
-/// Elections that seldom come to an end, while every seat crashes at many of its votes and is back at once.
+/// Elections rarely complete because members crash at many of their votes and restart at once.
 pub fn elections(seed: u64) -> Result<usize, Vec<Broken>> {
     let mut net = Net::new(seed, terms(5), 5, 0);
     net.gathered(5);
@@ -359,7 +359,7 @@
     }
 }
 
-/// One that is about to end leaves the lead to another, and nobody waits for an election.
+/// A leader that shuts down transfers its leadership, and no election timeout passes.
 #[test]
 fn a_lead_is_handed_over() {
     for seed in 0..6 {
@@ -367,7 +367,7 @@
         net.gathered(3);
         net.run_for(SECOND);
         let leader = net.leader().expect("a leader");
-        net.nodes[leader].council.as_mut().expect("it is up").hand_over();
+        net.nodes[leader].council.as_mut().expect("it is up").transfer_leadership();
         net.run_for(20_000);
         assert!(net.leader().is_some_and(|now| now != leader), "seed {seed}");
         net.kill(leader, u64::MAX);
@@ -379,7 +379,7 @@
     }
 }
 
-/// The only one that has all was seated while another one was away, whose vote it needs.
+/// The only member with the complete log joined while another one was away, whose vote it needs.
 #[test]
 fn one_that_was_away_votes_for_a_seat_that_it_does_not_know() {
     let mut net = Net::new(6, terms(5), 5, 0);
@@ -388,12 +388,12 @@
     let [second, third, away, lost] = [1, 2, 3, 4].map(|step| (first + step) % 5);
     net.cut.extend((0..5).flat_map(|other| [(away, other), (other, away)]));
     net.kill(lost, net.now + SECOND);
-    net.plate(lost, |plate| plate.memory = Memory::new(4_711));
+    net.plate(lost, |plate| plate.memory = MemoryDisk::new(4_711));
     net.until(30 * SECOND, "not seated", move |net| {
         net.nodes[lost].council.as_ref().is_some_and(|council| council.status().role == Role::Seat)
     });
     net.run_for(SECOND);
-    // The third one falls behind; what is decided now, only the first two and the new one have.
+    // The third member falls behind; entries decided now are only on the first two and the new one.
     net.cut.extend((0..5).flat_map(|other| [(third, other), (other, third)]));
     let value = net.propose(first, 10);
     net.run_for(SECOND / 5);
--- a/crates/council/tests/council/figures.rs
+++ b/crates/council/tests/council/figures.rs
@@ -1,8 +1,8 @@
-//! Figures for docs/council.md: `cargo test -p tansyjunction-council figures -- --ignored --nocapture`.
+//! Measurements for docs/council.md: `cargo test -p tansyjunction-council figures -- --ignored --nocapture`.
 
 use std::time::Instant;
 
-use tansyjunction_council::{Council, Terms, store};
+use tansyjunction_council::{ConsensusConfig, ConsensusMember, store};
 
 use crate::net::*;
 
@@ -17,7 +17,7 @@
     for seats in [3, 5] {
         let mut net = Net::new(1, terms(seats), seats, 1);
         net.gathered(seats);
-        // The follower is of no interest here.
+        // The follower does not matter here.
         net.kill(seats, u64::MAX);
         net.run_for(SECOND);
         let before = net.bytes;
@@ -64,7 +64,7 @@
             net.run_for(SECOND + seed * 7_919);
             let leader = net.leader().expect("a leader");
             if hands_over {
-                net.nodes[leader].council.as_mut().expect("it is up").hand_over();
+                net.nodes[leader].council.as_mut().expect("it is up").transfer_leadership();
                 net.run_for(10_000);
             }
             net.kill(leader, u64::MAX);
@@ -78,14 +78,15 @@
     }
 
     let folder = tempfile::tempdir().expect("a folder");
-    store::found(folder.path(), "n0").expect("founded");
-    let terms = Terms { compact_after: 4_096, ..terms(1) };
+    store::create_cluster(folder.path(), "n0").expect("founded");
+    let terms = ConsensusConfig { compact_after: 4_096, ..terms(1) };
     let file = store::open(folder.path()).expect("opened").0;
     let mut now = 0;
-    let mut council: Council<Book> = Council::seat(now, "n0", terms, Box::new(file), 1).expect("a seat");
-    while !council.leads() {
-        now = council.next();
-        council.settle(now).expect("settled");
+    let mut council: ConsensusMember<Book> =
+        ConsensusMember::seat(now, "n0", terms, Box::new(file), 1).expect("a seat");
+    while !council.is_leader() {
+        now = council.next_due();
+        council.process(now).expect("settled");
     }
     for batch in [1, 64] {
         let (mut times, mut value) = (Vec::new(), 0);
@@ -99,8 +100,8 @@
             }
             let mut decided = 0;
             while decided < batch {
-                now = now.max(council.next());
-                council.settle(now).expect("settled");
+                now = now.max(council.next_due());
+                council.process(now).expect("settled");
                 decided += council.take_decided().len();
             }
             times.push(begun.elapsed().as_micros() as u64);
@@ -113,6 +114,6 @@
         );
     }
     let (first, last, _) = council.status().log;
-    let size = std::fs::metadata(folder.path().join(store::FILE)).expect("a file").len();
+    let size = std::fs::metadata(folder.path().join(store::FILE_NAME)).expect("a file").len();
     println!("redb after {last} entries, those from {first} on still there: {size} bytes");
 }
--- a/crates/council/tests/council/main.rs
+++ b/crates/council/tests/council/main.rs
@@ -1,4 +1,4 @@
-//! What a council promises, in a virtual network in virtual time, and that each seeded mistake breaks a promise.
+//! Guarantees of the consensus, in a simulated network in virtual time. Each seeded fault must violate a guarantee.
 
 mod calm;
 mod disk;
--- a/crates/council/tests/council/net.rs
+++ b/crates/council/tests/council/net.rs
@@ -1,21 +1,23 @@
-//! Members of a council in virtual time: a network that loses, doubles, reorders and cuts, disks that crash at a write,
-//! pauses and restarts, all from one seed; and a judge who watches every step.
+//! Simulated cluster in virtual time: a network that loses, duplicates, reorders and partitions, disks that crash at a
+//! write, pauses and restarts, all from one seed; guarantees are checked in every step.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
 
 use serde::{Deserialize, Serialize};
-use tansyjunction_council::store::{Kept, Memory, Writes};
-use tansyjunction_council::{Council, Disk, Fault, Machine, Role, Terms, slips};
+use tansyjunction_council::store::{MemoryDisk, StoredState, WriteBatch};
+use tansyjunction_council::{
+    ConsensusConfig, ConsensusError, ConsensusMember, Disk, Role, StateMachine, seeded_faults,
+};
 
 pub const SECOND: u64 = 1_000_000;
 
-/// Keeps every value with the index at which it was taken.
+/// State machine that keeps every value with its index.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Book {
     pub taken: Vec<(u64, u64)>,
     pub whole: u64,
-    /// Ballast, so that a whole state is of some size.
+    /// Padding, so that snapshots have some size.
     pub pad: Vec<u8>,
 }
 
@@ -25,7 +27,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Change(Vec<(u64, u64)>, u64);
 
-impl Machine for Book {
+impl StateMachine for Book {
     type Entry = Value;
     type Outcome = u64;
     type Change = Change;
@@ -36,7 +38,7 @@
         self.taken.len() as u64
     }
 
-    fn whole(&self) -> u64 {
+    fn complete_index(&self) -> u64 {
         self.whole
     }
 
@@ -46,34 +48,34 @@
         some.last().map(|(index, _)| Change(some.clone(), *index)).into_iter().collect()
     }
 
-    fn take(&mut self, change: &Change) {
+    fn apply_change(&mut self, change: &Change) {
         self.taken.extend(&change.0);
         self.whole = change.1;
     }
 }
 
-/// When a disk fails: at this write from now on, and whether that write still happens.
+/// When a disk fails: at this write from now on, and whether the write still takes effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Crash {
     pub after: u64,
     pub written: bool,
-    /// Only writes that hold a vote count.
+    /// Counts only writes that contain a vote.
     pub votes: bool,
 }
 
 pub struct Plate {
-    pub memory: Memory,
+    pub memory: MemoryDisk,
     pub writes: u64,
     pub crash: Option<Crash>,
     drawn: u64,
 }
 
-/// A disk that outlives its council.
+/// A disk that outlives its member.
 #[derive(Clone)]
 pub struct Shared(pub Arc<Mutex<Plate>>);
 
 impl Shared {
-    pub fn new(memory: Memory) -> Shared {
+    pub fn new(memory: MemoryDisk) -> Shared {
         Shared(Arc::new(Mutex::new(Plate { memory, writes: 0, crash: None, drawn: 0 })))
     }
 }
@@ -83,11 +85,11 @@
         self.0.lock().expect("a plate").memory.id
     }
 
-    fn load(&mut self) -> Result<Kept, Fault> {
+    fn load(&mut self) -> Result<StoredState, ConsensusError> {
         self.0.lock().expect("a plate").memory.load()
     }
 
-    fn write(&mut self, writes: &Writes) -> Result<(), Fault> {
+    fn write(&mut self, writes: &WriteBatch) -> Result<(), ConsensusError> {
         let mut plate = self.0.lock().expect("a plate");
         plate.writes += 1;
         let voted = plate.memory.kept.hard.vote;
@@ -99,22 +101,22 @@
                 if crash.written {
                     plate.memory.write(writes)?;
                 }
-                return Err(Fault::Write("crashed".into()));
+                return Err(ConsensusError::Write("crashed".into()));
             }
         }
         plate.memory.write(writes)
     }
 
-    fn renew(&mut self) -> Result<(), Fault> {
+    fn replace(&mut self) -> Result<(), ConsensusError> {
         let mut plate = self.0.lock().expect("a plate");
         plate.drawn += 1;
         let id = plate.memory.id.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(plate.drawn).max(1);
-        plate.memory = Memory::new(id);
+        plate.memory = MemoryDisk::new(id);
         Ok(())
     }
 }
 
-/// What broke.
+/// The violated guarantee.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Broken {
     TwoDecisions {
@@ -133,21 +135,21 @@
         term: u64,
         disk: u64,
     },
-    /// A disk holds less than its seat has vouched for.
+    /// A disk holds less than its member has acknowledged.
     Vouched,
     Stuck(&'static str),
 }
 
 pub struct Node {
     pub name: String,
-    pub council: Option<Council<Book>>,
-    /// `None`: a follower.
+    pub council: Option<ConsensusMember<Book>>,
+    /// `None` for a follower.
     pub disk: Option<Shared>,
     pub paused: u64,
-    /// Down until then; `u64::MAX`: until it is started.
+    /// Down until this time; `u64::MAX`: until it is started.
     pub down: u64,
     starts: u64,
-    pub faults: Vec<Fault>,
+    pub faults: Vec<ConsensusError>,
 }
 
 #[derive(Default)]
@@ -177,7 +179,7 @@
     }
 
     fn sent(&mut self, bytes: &[u8]) {
-        if let Some((term, disk, to)) = slips::vote(bytes)
+        if let Some((term, disk, to)) = seeded_faults::vote(bytes)
             && *self.votes.entry((term, disk)).or_insert(to) != to
         {
             self.broken.push(Broken::VotedTwice { term, disk });
@@ -194,33 +196,33 @@
     pub loss: f64,
     pub doubles: f64,
     pub delay: (u64, u64),
-    /// Directions that nothing passes.
+    /// Blocked directions.
     pub cut: BTreeSet<(usize, usize)>,
-    pub terms: Terms,
+    pub terms: ConsensusConfig,
     pub bytes: u64,
     pub judge: Judge,
-    /// By node and ticket: the value, and when it was proposed.
+    /// Value and proposal time by node and ticket.
     proposed: BTreeMap<(usize, u64, u64), (u64, u64)>,
     values: u64,
     pub latencies: Vec<u64>,
     pub given_up: usize,
     seed: u64,
-    /// A crashed seat is started again after so long.
+    /// Time after which a crashed member is restarted.
     pub back_after: u64,
 }
 
-pub fn terms(seats: usize) -> Terms {
-    Terms { seats: (0..seats).map(|n| format!("n{n}")).collect(), ..Terms::default() }
+pub fn terms(seats: usize) -> ConsensusConfig {
+    ConsensusConfig { seats: (0..seats).map(|n| format!("n{n}")).collect(), ..ConsensusConfig::default() }
 }
 
-/// Who a disk is: as large a number as one that is drawn.
+/// Disk id, as large as a randomly drawn one.
 pub fn disk_of(number: usize) -> u64 {
     0x9e37_79b9_7f4a_7c15_u64.wrapping_mul(number as u64 + 1)
 }
 
 impl Net {
-    /// `seats` with disks, the first of them the founder's, and `followers`.
-    pub fn new(seed: u64, terms: Terms, seats: usize, followers: usize) -> Net {
+    /// `seats` members with disks, the first of which creates the cluster, and `followers`.
+    pub fn new(seed: u64, terms: ConsensusConfig, seats: usize, followers: usize) -> Net {
         let mut net = Net {
             now: 1_000 * SECOND,
             nodes: Vec::new(),
@@ -244,8 +246,8 @@
         for number in 0..seats + followers {
             let name = format!("n{number}");
             let memory = match number {
-                0 => Memory::founder(disk_of(0), u64::MAX / 7, &name),
-                _ => Memory::new(disk_of(number)),
+                0 => MemoryDisk::founder(disk_of(0), u64::MAX / 7, &name),
+                _ => MemoryDisk::new(disk_of(number)),
             };
             net.add(name, (number < seats).then(|| Shared::new(memory)));
         }
@@ -269,10 +271,10 @@
         node.down = 0;
         let seed = self.seed * 1_000_003 + node.starts * 1_009 + number as u64;
         node.council = match &node.disk {
-            None => Some(Council::follower(now, &node.name, terms, seed)),
+            None => Some(ConsensusMember::follower(now, &node.name, terms, seed)),
             Some(disk) => {
                 disk.0.lock().expect("a plate").crash = None;
-                match Council::seat(now, &node.name, terms, Box::new(disk.clone()), seed) {
+                match ConsensusMember::seat(now, &node.name, terms, Box::new(disk.clone()), seed) {
                     Ok(council) => Some(council),
                     Err(fault) => {
                         node.faults.push(fault);
@@ -284,15 +286,15 @@
         self.gather(number);
     }
 
-    /// Ends a member at once; it comes back at `until`.
+    /// Kills a member; it restarts at `until`.
     pub fn kill(&mut self, number: usize, until: u64) {
         self.nodes[number].council = None;
         self.nodes[number].down = until;
         self.proposed.retain(|(node, ..), _| *node != number);
     }
 
-    /// The disk's content, to be put back later.
-    pub fn copy(&self, number: usize) -> Memory {
+    /// Content of the disk, to be restored later.
+    pub fn copy(&self, number: usize) -> MemoryDisk {
         self.plate(number, |plate| plate.memory.clone())
     }
 
@@ -302,16 +304,16 @@
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let leads = |n: &usize| self.nodes[*n].council.as_ref().is_some_and(Council::leads);
+        let leads = |n: &usize| self.nodes[*n].council.as_ref().is_some_and(ConsensusMember::is_leader);
         let term = |n: &usize| self.nodes[*n].council.as_ref().map_or(0, |council| council.status().term);
         (0..self.nodes.len()).filter(leads).max_by_key(term)
     }
 
-    pub fn council(&self, number: usize) -> &Council<Book> {
+    pub fn council(&self, number: usize) -> &ConsensusMember<Book> {
         self.nodes[number].council.as_ref().expect("it is up")
     }
 
-    /// A new value is proposed at a member; gives the value.
+    /// Proposes a new value at a member; returns the value.
     pub fn propose(&mut self, number: usize, size: usize) -> u64 {
         let value = self.propose_only(number, size);
         if self.nodes[number].paused <= self.now {
@@ -320,7 +322,7 @@
         value
     }
 
-    /// The same, and it takes its way with what comes next.
+    /// The same, processed together with the next messages.
     pub fn propose_only(&mut self, number: usize, size: usize) -> u64 {
         self.values += 1;
         let (now, value) = (self.now, self.values);
@@ -335,10 +337,10 @@
     fn settle(&mut self, number: usize) {
         let now = self.now;
         let Some(council) = &mut self.nodes[number].council else { return };
-        let done = council.settle(now);
+        let done = council.process(now);
         self.gather(number);
         if let Err(fault) = done {
-            if matches!(fault, Fault::OldDisk { .. }) {
+            if matches!(fault, ConsensusError::OutdatedDisk { .. }) {
                 self.judge.broken.push(Broken::Vouched);
             }
             self.nodes[number].faults.push(fault);
@@ -346,7 +348,7 @@
         }
     }
 
-    /// Takes what a member has to say, to the network and to the judge.
+    /// Passes a member's output to the network and to the checks.
     fn gather(&mut self, number: usize) {
         let (now, starts) = (self.now, self.nodes[number].starts);
         let node = &mut self.nodes[number];
@@ -364,14 +366,14 @@
                 Err(_) => self.given_up += 1,
             }
         }
-        if council.leads() {
+        if council.is_leader() {
             let term = council.status().term;
             self.judge.leads(term, &node.name);
         }
-        for (to, bytes) in council.take_out() {
+        for (to, bytes) in council.take_messages() {
             self.judge.sent(&bytes);
             self.bytes += bytes.len() as u64 + 28;
-            assert!(bytes.len() <= self.terms.datagram, "a message of {} bytes", bytes.len());
+            assert!(bytes.len() <= self.terms.max_message_bytes, "a message of {} bytes", bytes.len());
             let Some(to) = self.nodes.iter().position(|node| node.name == to) else { continue };
             let copies = 1 + usize::from(self.rng.f64() < self.doubles);
             for _ in 0..copies {
@@ -385,11 +387,11 @@
         }
     }
 
-    /// Goes on until that time.
+    /// Runs until this time.
     pub fn run(&mut self, until: u64) {
         while self.judge.broken.is_empty() {
             let due = self.nodes.iter().enumerate().map(|(number, node)| {
-                let next = node.council.as_ref().map(|council| council.next().max(node.paused));
+                let next = node.council.as_ref().map(|council| council.next_due().max(node.paused));
                 (next.unwrap_or(if node.down == 0 { u64::MAX } else { node.down }), number)
             });
             let (node_at, number) = due.min().expect("nodes");
@@ -409,7 +411,7 @@
                     let from = self.nodes.iter().position(|node| node.name == from).expect("a sender");
                     self.way.insert((self.nodes[to].paused, self.sent), (from, to, bytes));
                 } else if let Some(council) = &mut node.council {
-                    council.heard(at, &from, &bytes);
+                    council.receive(at, &from, &bytes);
                     self.settle(to);
                 }
             } else if self.nodes[number].council.is_some() {
@@ -425,7 +427,7 @@
         self.run(self.now + time);
     }
 
-    /// Until it holds, at most so long.
+    /// Runs until the condition holds, for a limited time.
     pub fn until(&mut self, most: u64, what: &'static str, holds: impl Fn(&Net) -> bool) {
         let end = self.now + most;
         while self.judge.broken.is_empty() && !holds(self) {
@@ -436,7 +438,7 @@
         }
     }
 
-    /// All faults end; everybody comes to the same state, and nothing that was acknowledged is missing.
+    /// Ends all faults; all members must reach the same state without losing acknowledged entries.
     pub fn heal(&mut self) {
         (self.loss, self.doubles) = (0.0, 0.0);
         self.cut.clear();
@@ -457,8 +459,8 @@
                 taken.is_some_and(|taken| taken.iter().any(|(_, value)| *value == last))
             };
             self.until(60 * SECOND, "not whole", move |net| net.nodes.iter().all(has));
-            // What was proposed before is decided or given up by then.
-            self.run_for(self.terms.give_up + SECOND);
+            // Earlier proposals are decided or abandoned by then.
+            self.run_for(self.terms.proposal_timeout + SECOND);
         }
         for node in &self.nodes {
             let Some(council) = &node.council else { continue };
@@ -479,7 +481,7 @@
         }
     }
 
-    /// A member sits again, and all others do.
+    /// Whether a disk is a member again, and all others are.
     pub fn sits(&mut self, number: usize, seats: usize) {
         self.until(30 * SECOND, "does not sit", move |net| {
             matches!(net.council(number).status().role, Role::Seat | Role::Leader)
@@ -487,7 +489,7 @@
         self.gathered(seats);
     }
 
-    /// The council is whole: all of `seats` vote.
+    /// Whether all of `seats` vote.
     pub fn gathered(&mut self, seats: usize) {
         self.until(60 * SECOND, "not all seated", move |net| {
             net.leader().is_some_and(|leader| {
--- a/crates/council/tests/council/slips.rs
+++ b/crates/council/tests/council/slips.rs
@@ -1,16 +1,16 @@
-//! Each seeded mistake is found, and the judge says by which promise.
+//! Each seeded fault is detected, with the guarantee that it violates.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-use tansyjunction_council::slips::{self, Slip};
+use tansyjunction_council::seeded_faults::{self, SeededFault};
 
 use crate::faults::{crash_at, elections, storm};
 use crate::net::Broken;
 
-/// What the first of many storms and crashes that breaks says; raft itself panics where a log contradicts itself.
-fn found(slip: Slip) -> Option<String> {
+/// The first violation in many randomized runs; the crate `raft` panics if a log contradicts itself.
+fn found(slip: SeededFault) -> Option<String> {
     let run = |does: &dyn Fn() -> Result<(), Vec<Broken>>| {
-        let done = catch_unwind(AssertUnwindSafe(|| slips::with(slip, does)));
+        let done = catch_unwind(AssertUnwindSafe(|| seeded_faults::with_fault(slip, does)));
         done.map_or(Some("Panic".into()), |done| done.err().map(|broken| format!("{:?}", broken[0])))
     };
     (0..60).find_map(|seed| {
@@ -20,42 +20,42 @@
     })
 }
 
-fn finds(slip: Slip, by: &[&str]) {
+fn finds(slip: SeededFault, by: &[&str]) {
     let found = found(slip).unwrap_or_else(|| panic!("{slip:?} is not found"));
     assert!(by.iter().any(|by| found.starts_with(by)), "{slip:?} is found by {found}");
 }
 
 #[test]
 fn vote_before_sync() {
-    finds(Slip::VoteBeforeSync, &["VotedTwice", "TwoLeaders"]);
+    finds(SeededFault::VoteBeforeSync, &["VotedTwice", "TwoLeaders"]);
 }
 
 #[test]
 fn message_before_sync() {
-    finds(Slip::MessageBeforeSync, &["Vouched", "Lost", "TwoDecisions", "VotedTwice"]);
+    finds(SeededFault::MessageBeforeSync, &["Vouched", "Lost", "TwoDecisions", "VotedTwice"]);
 }
 
 #[test]
 fn entries_unsynced() {
-    finds(Slip::EntriesUnsynced, &["Vouched", "Lost", "TwoDecisions", "Panic"]);
+    finds(SeededFault::EntriesUnsynced, &["Vouched", "Lost", "TwoDecisions", "Panic"]);
 }
 
 #[test]
 fn stranger_votes() {
-    finds(Slip::StrangerVotes, &["VotedTwice", "TwoLeaders", "Vouched", "Lost", "TwoDecisions"]);
+    finds(SeededFault::StrangerVotes, &["VotedTwice", "TwoLeaders", "Vouched", "Lost", "TwoDecisions"]);
 }
 
 #[test]
 fn acknowledged_before_commit() {
-    finds(Slip::AcknowledgedBeforeCommit, &["Lost"]);
+    finds(SeededFault::AcknowledgedBeforeCommit, &["Lost"]);
 }
 
 #[test]
 fn duplicate_applied() {
-    finds(Slip::DuplicateApplied, &["AppliedTwice"]);
+    finds(SeededFault::DuplicateApplied, &["AppliedTwice"]);
 }
 
 #[test]
 fn seating_forgotten() {
-    finds(Slip::SeatingForgotten, &["TwoDecisions", "TwoLeaders", "Lost", "VotedTwice"]);
+    finds(SeededFault::SeatingForgotten, &["TwoDecisions", "TwoLeaders", "Lost", "VotedTwice"]);
 }
--- a/crates/duties/src/state_machine.rs
+++ b/crates/duties/src/state_machine.rs
@@ -1,12 +1,12 @@
 //! Implements the replicated state machine for [`SharedState`].
 
-use tansyjunction_council::Machine;
+use tansyjunction_council::StateMachine;
 
 use crate::entries::{Entry, Outcome};
 use crate::shared_state::SharedState;
 use crate::state_changes::Change;
 
-impl Machine for SharedState {
+impl StateMachine for SharedState {
     type Entry = Entry;
     type Outcome = Outcome;
     type Change = Change;
@@ -15,7 +15,7 @@
         SharedState::apply(self, index, entry)
     }
 
-    fn whole(&self) -> u64 {
+    fn complete_index(&self) -> u64 {
         self.index
     }
 
@@ -23,7 +23,7 @@
         SharedState::changes_since(self, since, most_bytes)
     }
 
-    fn take(&mut self, change: &Change) {
+    fn apply_change(&mut self, change: &Change) {
         SharedState::apply_change(self, change);
     }
 }
--- a/crates/gateway/src/council/member.rs
+++ b/crates/gateway/src/council/member.rs
@@ -14,7 +14,9 @@
 use calloop::ping::{Ping, PingSource};
 use calloop::{EventLoop, Interest, Mode, PostAction};
 use tansyjunction::interface::Micros;
-use tansyjunction_council::{Council, Fault, News, Terms as Sitting, Undecided, store};
+use tansyjunction_council::{
+    ConsensusConfig as Sitting, ConsensusError, ConsensusMember, MemberEvent, ProposalError, store,
+};
 use tansyjunction_duties::*;
 use tansyjunction_fellows::seal::{Keys, Seals};
 use tansyjunction_settings::Council as Set;
@@ -79,7 +81,7 @@
     zone: String,
     pub(super) set: Set,
     terms: LeaseConfig,
-    pub(super) council: Council<SharedState>,
+    pub(super) council: ConsensusMember<SharedState>,
     pub(super) holder: LeaseHolder,
     pub(super) grantor: Option<LeaseGrantor>,
     seals: Seals,
@@ -114,7 +116,7 @@
     /// The other thread needs this one no longer.
     over: bool,
     /// Why the seat stopped, once it has.
-    pub(super) broken: Option<Fault>,
+    pub(super) broken: Option<ConsensusError>,
     pub(super) refused: u64,
     pub(super) slowest: Micros,
     due: Micros,
@@ -192,7 +194,7 @@
                         "the store was set aside: {fault}"
                     );
                 }
-                Council::seat(boottime(), &me, sitting.clone(), Box::new(disk), seed)
+                ConsensusMember::seat(boottime(), &me, sitting.clone(), Box::new(disk), seed)
                     .map_err(|fault| broken = Some(fault))
                     .ok()
             }
@@ -208,7 +210,7 @@
         }
         let now = boottime();
         let grantor = council.as_ref().map(|_| LeaseGrantor::new(terms.clone()));
-        let council = council.unwrap_or_else(|| Council::follower(now, &me, sitting, seed));
+        let council = council.unwrap_or_else(|| ConsensusMember::follower(now, &me, sitting, seed));
         let seals = Seals::new(keys, &me, life, now, OLD_AFTER);
         let routes = set.addresses.iter().cloned().collect();
         info!(target: "council", what = "begins", mono = monotonic(), life, seat = grantor.is_some(), "takes part as {me}");
@@ -295,11 +297,11 @@
         if !self.set.seats.contains(&name) {
             self.routes.insert(name.clone(), from);
         }
-        self.council.heard(now, &name, body);
+        self.council.receive(now, &name, body);
     }
 
     fn send(&mut self) {
-        for (to, body) in self.council.take_out() {
+        for (to, body) in self.council.take_messages() {
             let Some(address) = self.routes.get(&to).copied() else { continue };
             let mut whole = Vec::with_capacity(to.len() + 1 + body.len());
             whole.push(to.len().min(usize::from(u8::MAX)) as u8);
@@ -318,7 +320,7 @@
     /// each use of a lease looks at the clock.
     fn stood_still(&mut self, now: Micros, late: Micros) {
         if late > self.set.elect_after / PAUSE_PART {
-            self.council.moved(now);
+            self.council.restart_timers(now);
         }
         if late > self.set.lease / PAUSE_PART {
             let ms = late / 1_000;
@@ -357,7 +359,7 @@
 
     /// Has the council do what is due, and takes up what it decided.
     fn advance(&mut self) {
-        if let Err(fault) = self.council.settle(boottime()) {
+        if let Err(fault) = self.council.process(boottime()) {
             self.stop_sitting(fault);
         }
         let applied = self.council.take_applied();
@@ -371,28 +373,28 @@
             self.decided(number, outcome);
         }
         let mono = monotonic();
-        for news in self.council.take_news() {
+        for news in self.council.take_events() {
             match news {
-                News::Leads { term } => {
+                MemberEvent::BecameLeader { term } => {
                     info!(target: "council", what = "leads", mono, term, "this seat leads the council");
                 }
-                News::Follows { leader, term } => {
+                MemberEvent::FollowsLeader { leader, term } => {
                     let leader = leader.unwrap_or_default();
                     info!(target: "council", what = "follows", mono, term, leader, "this gateway follows");
                 }
-                News::Stranger => {
+                MemberEvent::NotMember => {
                     warn!(target: "council", what = "stranger", mono, "this seat's store is new: it waits to be seated");
                 }
-                News::Seated { name, votes } => {
+                MemberEvent::MemberAdded { name, votes } => {
                     info!(target: "council", what = "seated", mono, name, votes, "a seat is taken");
                 }
-                News::Unseated { name } => {
+                MemberEvent::MemberRemoved { name } => {
                     warn!(target: "council", what = "unseated", mono, name, "a seat is given up");
                 }
-                News::Replaced => {
+                MemberEvent::DiskReplaced => {
                     warn!(target: "council", what = "disk", mono, "the store was replaced while this seat was away");
                 }
-                News::Other { from, council } => {
+                MemberEvent::ForeignCluster { from, council } => {
                     error!(target: "council", what = "other", mono, from, council, "a gateway is of another council");
                 }
             }
@@ -400,23 +402,23 @@
     }
 
     /// The seat can't go on: its store is not touched again, and the gateway follows the others from now on.
-    fn stop_sitting(&mut self, fault: Fault) {
+    fn stop_sitting(&mut self, fault: ConsensusError) {
         let (mono, remedy) = (monotonic(), fault.remedy());
         error!(target: "council", what = "disk", mono, remedy, "this seat has stopped: {fault}");
         self.broken = Some(fault);
         self.grantor = None;
         let now = boottime();
-        self.council = Council::follower(now, &self.me, sitting(&self.set), self.seed ^ now);
+        self.council = ConsensusMember::follower(now, &self.me, sitting(&self.set), self.seed ^ now);
         for (_, ticket) in std::mem::take(&mut self.tickets) {
             self.undecided(ticket);
         }
     }
 
-    fn decided(&mut self, number: u64, outcome: Result<(u64, Outcome), Undecided>) {
+    fn decided(&mut self, number: u64, outcome: Result<(u64, Outcome), ProposalError>) {
         if self.last_word == Some(number) {
             self.left = true;
             // Guards against an election at each planned restart of the leading seat, in which no lease is renewed.
-            self.council.hand_over();
+            self.council.transfer_leadership();
         }
         match (self.tickets.remove(&number), outcome) {
             (Some(Ticket::Renewal), Ok((_, outcome))) => {
@@ -440,7 +442,7 @@
                     work.proposed = false;
                 }
             }
-            Ticket::Word(waiting) => waiting.decided(self.register(), Err(Undecided::InTime)),
+            Ticket::Word(waiting) => waiting.decided(self.register(), Err(ProposalError::Timeout)),
             Ticket::Opening(duty) => drop(self.opened.remove(&duty)),
             _ => {}
         }
@@ -531,8 +533,11 @@
     fn grant(&mut self) {
         let Some(grantor) = &mut self.grantor else { return };
         let suspected: BTreeSet<String> = self.facts.load().suspected.iter().cloned().collect();
-        let evidence =
-            ElectionEvidence { is_leader: self.council.leads(), suspected, ..ElectionEvidence::default() };
+        let evidence = ElectionEvidence {
+            is_leader: self.council.is_leader(),
+            suspected,
+            ..ElectionEvidence::default()
+        };
         for entry in grantor.due_proposals(boottime(), self.council.state(), &evidence) {
             let mono = monotonic();
             match &entry {
@@ -611,7 +616,7 @@
             let entry = self.holder.leave(now);
             self.last_word = Some(self.propose(entry, Ticket::Parting));
         }
-        if let Err(fault) = self.council.settle(boottime()) {
+        if let Err(fault) = self.council.process(boottime()) {
             self.stop_sitting(fault);
         }
     }
@@ -674,7 +679,8 @@
         let soon = soon.then(|| now + self.terms.renew_interval / 10);
         let leaves =
             self.leaves.filter(|_| self.last_word.is_none()).map(|_| now + self.terms.renew_interval / 10);
-        let all = [Some(self.council.next()), Some(self.holder.next_renewal()), ends, grants, soon, leaves];
+        let all =
+            [Some(self.council.next_due()), Some(self.holder.next_renewal()), ends, grants, soon, leaves];
         all.into_iter().flatten().chain(waits).min().unwrap_or(now).max(now + 200)
     }
 }
@@ -682,12 +688,12 @@
 fn sitting(set: &Set) -> Sitting {
     Sitting {
         seats: set.seats.clone(),
-        beat: set.beat,
-        elect_after: set.elect_after,
-        ask_every: set.ask_every,
-        give_up: 2 * set.lease,
+        heartbeat_interval: set.beat,
+        election_timeout: set.elect_after,
+        retry_interval: set.ask_every,
+        proposal_timeout: 2 * set.lease,
         compact_after: set.compact_after,
-        datagram: BODY,
+        max_message_bytes: BODY,
         ..Sitting::default()
     }
 }
--- a/crates/gateway/src/council/mod.rs
+++ b/crates/gateway/src/council/mod.rs
@@ -236,4 +236,4 @@
     }
 }
 
-pub use tansyjunction_council::store::{found, refound};
+pub use tansyjunction_council::store::{create_cluster, recover_cluster};
--- a/crates/gateway/src/council/words.rs
+++ b/crates/gateway/src/council/words.rs
@@ -4,7 +4,7 @@
 use std::os::unix::net::UnixStream;
 
 use serde_json::{Value as Json, json};
-use tansyjunction_council::Undecided;
+use tansyjunction_council::ProposalError;
 use tansyjunction_duties::*;
 use tracing::info;
 
@@ -26,7 +26,7 @@
 }
 
 impl Waiting {
-    pub fn decided(self, register: &SharedState, outcome: Result<(u64, Outcome), Undecided>) {
+    pub fn decided(self, register: &SharedState, outcome: Result<(u64, Outcome), ProposalError>) {
         let answer = match outcome {
             Ok((index, Outcome::Done { at })) => Ok(json!({ "ok": true, "version": at, "index": index })),
             Ok((_, Outcome::Refused(refused))) => Err(Unable::Refused(refused)),
@@ -36,8 +36,8 @@
                 Err(Unable::Overtaken { name: self.name, version, by: by.into() })
             }
             Ok((_, other)) => Err(Unable::Otherwise(format!("{other:?}"))),
-            Err(Undecided::InTime) => Err(Unable::Undecided),
-            Err(Undecided::TooLarge) => Err(Unable::TooLong),
+            Err(ProposalError::Timeout) => Err(Unable::Undecided),
+            Err(ProposalError::TooLarge) => Err(Unable::TooLong),
         };
         reply(&self.stream, answer);
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -10,6 +10,6 @@
 mod run;
 mod wire;
 
-pub use council::{found, refound};
+pub use council::{create_cluster, recover_cluster};
 pub use run::deployment::Deployment;
 pub use run::serve::{serve, signals};
