--- a/crates/gateway/src/council/conduct.rs
+++ b/crates/gateway/src/council/conduct.rs
@@ -1,66 +1,66 @@
-//! Changes of primary that this gateway conducts: what [`conduct`] says is done here.
+//! Changes of primary conducted by this gateway: executes the actions of [`next_action`].
 
 use tansyjunction::interface::Micros;
 use tansyjunction_duties::*;
 use tracing::{info, warn};
 
 use super::effect;
-use super::fault::Unswitched;
-use super::member::{Member, Ticket, in_mono};
+use super::fault::SwitchError;
+use super::member::{ConsensusThread, ProposalPurpose, in_mono};
 use crate::run::clock::{boottime, monotonic};
 
-/// Between two tries to tell the store.
-const AGAIN: Micros = 200_000;
-/// Nothing is begun in the last part of a lease.
-const LEFT_PART: Micros = 10;
+/// Interval between attempts to send a switch to the store.
+const SWITCH_RETRY_INTERVAL: Micros = 200_000;
+/// No switch is started in the last 1/10 of a lease.
+const LEASE_RESERVE_DIVISOR: Micros = 10;
 
-/// A change that this gateway conducts.
+/// A change conducted by this gateway.
 #[derive(Default)]
-pub struct Work {
+pub struct ConductedChange {
     epoch: u64,
-    /// The document's version, and since when it stands so.
+    /// Version of the document, and since when.
     version: u64,
     since: Micros,
-    /// A step of it is proposed.
+    /// Whether a step is proposed and not decided yet.
     pub proposed: bool,
-    told: Option<(String, SwitchResult)>,
-    telling: bool,
-    /// Not told again before.
-    again: Micros,
-    /// When the step takes too long.
-    late: Option<Micros>,
+    switch_result: Option<(String, SwitchResult)>,
+    switch_pending: bool,
+    /// Earliest time of the next attempt.
+    retry_at: Micros,
+    /// When the step times out.
+    timeout_at: Option<Micros>,
 }
 
-impl Work {
-    /// When it is to be looked at.
-    pub fn next(&self) -> Option<Micros> {
-        let again = (!self.telling && self.again > 0).then_some(self.again);
-        [again, self.late].into_iter().flatten().min()
+impl ConductedChange {
+    /// When it needs the next check.
+    pub fn next_check(&self) -> Option<Micros> {
+        let again = (!self.switch_pending && self.retry_at > 0).then_some(self.retry_at);
+        [again, self.timeout_at].into_iter().flatten().min()
     }
 }
 
-/// The end of an effect.
-pub struct Conducted {
+/// The end of a switch.
+pub struct SwitchEnded {
     switch: Switch,
     took: Micros,
-    end: Result<(), Unswitched>,
+    end: Result<(), SwitchError>,
 }
 
-impl Member {
-    /// Whether an effect of this duty is under way.
-    pub(super) fn telling(&self, duty: &str) -> bool {
-        shard_of(duty).and_then(|shard| self.works.get(&shard)).is_some_and(|work| work.telling)
+impl ConsensusThread {
+    /// Whether a switch of this duty is in progress.
+    pub(super) fn switch_in_progress(&self, duty: &str) -> bool {
+        shard_of(duty).and_then(|shard| self.works.get(&shard)).is_some_and(|work| work.switch_pending)
     }
 
-    /// Goes on with each change that this gateway may conduct.
-    pub(super) fn conduct(&mut self) {
+    /// Continues each change that this gateway may conduct.
+    pub(super) fn conduct_changes(&mut self) {
         if self.leaves() {
             return;
         }
         let now = boottime();
         let held: Vec<(u32, u64)> =
             self.holder.duties(now).filter_map(|(duty, epoch, _)| Some((shard_of(duty)?, epoch))).collect();
-        self.works.retain(|shard, work| work.telling || held.iter().any(|(held, _)| held == shard));
+        self.works.retain(|shard, work| work.switch_pending || held.iter().any(|(held, _)| held == shard));
         for (shard, epoch) in held {
             self.conduct_one(shard, epoch);
         }
@@ -72,18 +72,18 @@
         let to = Plan::read(self.register(), shard).map_or(String::new(), |(plan, _)| plan.to);
         let facts = self.facts();
         let servers = facts.planned.get(&shard).and_then(|planned| planned.servers.as_ref());
-        // A gateway that has no list yet takes nobody for lost.
+        // Without a server list no target counts as lost.
         let target_lost = servers.is_some_and(|all| all.get(&to).is_none_or(|server| server.leaving));
         let switch_for = self.set.step_within;
         let work = self.works.entry(shard).or_default();
         if work.epoch != epoch {
-            // What is under way is of an older epoch: its answer counts for nothing here.
-            *work = Work { epoch, since: now, ..Work::default() };
+            // A switch in progress is of an older epoch; its answer is ignored here.
+            *work = ConductedChange { epoch, since: now, ..ConductedChange::default() };
         }
         if work.version != version {
             (work.version, work.since) = (version, now);
         }
-        work.late = Some(work.since + switch_for).filter(|at| *at > now);
+        work.timeout_at = Some(work.since + switch_for).filter(|at| *at > now);
         if work.proposed {
             return;
         }
@@ -91,125 +91,128 @@
             step_for: now - work.since,
             step_timeout: switch_for,
             target_lost,
-            switch_result: work.told.clone(),
-            switch_pending: work.telling,
+            switch_result: work.switch_result.clone(),
+            switch_pending: work.switch_pending,
         };
         match next_action(self.council.state(), shard, &self.me, epoch, &seen) {
             ConductorAction::Wait(waits) => self.holder.record_waiting(&duty, waits == WaitReason::Store),
             ConductorAction::Propose(entry) => {
                 work.proposed = true;
                 self.holder.record_waiting(&duty, true);
-                self.propose(entry, Ticket::Step(shard));
+                self.propose(entry, ProposalPurpose::Step(shard));
             }
             ConductorAction::SendSwitch(switch) => {
                 self.holder.record_waiting(&duty, true);
-                self.tell_store(switch);
+                self.send_switch(switch);
             }
             ConductorAction::Release(why) => {
                 let entry = self.holder.release(now, &duty, why);
-                self.part(&duty, epoch, entry, &format!("{why:?}").to_lowercase());
+                self.release_duty(&duty, epoch, entry, &format!("{why:?}").to_lowercase());
             }
             ConductorAction::Close(entry) => {
                 self.holder.stop(now, &duty);
-                self.part(&duty, epoch, Some(entry), "over");
+                self.release_duty(&duty, epoch, Some(entry), "over");
             }
-            // Its document can't be read: perhaps another gateway runs a newer program.
+            // Its document cannot be decoded: another gateway may run a newer program.
             ConductorAction::Nothing => {
                 let entry = self.holder.release(now, &duty, GivenBack::Unable);
-                self.part(&duty, epoch, entry, "unable");
+                self.release_duty(&duty, epoch, entry, "unable");
             }
         }
     }
 
-    fn part(&mut self, duty: &str, epoch: u64, entry: Option<Entry>, why: &str) {
+    fn release_duty(&mut self, duty: &str, epoch: u64, entry: Option<Entry>, why: &str) {
         if let Some(entry) = entry {
-            info!(target: "council", what = "released", mono = monotonic(), duty, epoch, why, "a duty is given back");
-            self.propose(entry, Ticket::Parting);
+            info!(target: "council", what = "released", mono = monotonic(), duty, epoch, why, "releasing a duty");
+            self.propose(entry, ProposalPurpose::Parting);
         }
     }
 
-    /// A step was decided, one way or the other.
-    pub(super) fn stepped(&mut self, shard: u32, _index: u64, outcome: &Outcome) {
+    /// Handles the decision on a step.
+    pub(super) fn on_step_decided(&mut self, shard: u32, _index: u64, outcome: &Outcome) {
         if let Some(work) = self.works.get_mut(&shard) {
             work.proposed = false;
         }
         let duty = conductor_duty_of(shard);
         match outcome {
             Outcome::Done { .. } => self.holder.record_progress(&duty, true),
-            // Another version or holder is there: the next look goes by that.
+            // The document has another version or holder: the next check continues from that.
             Outcome::Overtaken { .. } | Outcome::Fenced { .. } => {}
             other => {
-                warn!(target: "council", what = "refused", mono = monotonic(), duty, "a step was refused: {other:?}")
+                warn!(target: "council", what = "refused", mono = monotonic(), duty, "a step of the change was rejected: {other:?}")
             }
         }
     }
 
-    /// Starts to tell the store, if the lease lasts long enough.
-    fn tell_store(&mut self, switch: Switch) {
+    /// Sends a switch to the store if the lease lasts long enough.
+    fn send_switch(&mut self, switch: Switch) {
         let (now, duty, within) = (boottime(), conductor_duty_of(switch.shard), self.set.effect_within);
         let Some(work) = self.works.get_mut(&switch.shard) else { return };
-        if now < work.again {
+        if now < work.retry_at {
             return;
         }
-        work.again = now + AGAIN;
-        let Some(template) = self.set.switch_statement.clone() else { return self.told_by_hand(&switch) };
+        work.retry_at = now + SWITCH_RETRY_INTERVAL;
+        let Some(template) = self.set.switch_statement.clone() else {
+            return self.switched_by_operator(&switch);
+        };
         let facts = self.facts();
         let servers = facts.planned.get(&switch.shard).and_then(|planned| planned.servers.as_ref());
         let server = servers.and_then(|servers| servers.get(&switch.to));
-        // What is left of the lease must do for opening a connection; the statement itself may outlast it, for the
-        // server refuses it once a later epoch was told.
-        let may = self.holder.may_start(now, &duty, self.set.lease / LEFT_PART) == Some(switch.epoch);
+        // The rest of the lease must cover opening a connection. The statement itself may outlast it, since the server
+        // rejects it once it has seen a later epoch.
+        let may =
+            self.holder.may_start(now, &duty, self.set.lease / LEASE_RESERVE_DIVISOR) == Some(switch.epoch);
         let Some(until) = self.holder.until(&duty).filter(|_| may) else { return };
         let Some(address) = server.map(|server| server.address) else {
-            let end = Err(Unswitched::NoAddress(switch.to.clone()));
-            return self.switched(Conducted { switch, took: 0, end });
+            let end = Err(SwitchError::NoAddress(switch.to.clone()));
+            return self.on_switch_ended(SwitchEnded { switch, took: 0, end });
         };
         let (statement, conducted) = (effect::statement(&template, &switch), self.conducted.clone());
         let (told, lease_end) = (switch.clone(), in_mono(now, until));
         let tells = move || {
             let starts = |mono| {
                 let (epoch, to, until) = (told.epoch, &told.to, lease_end);
-                info!(target: "council", what = "effect-start", mono, duty, epoch, to, until, "a server is told to lead");
+                info!(target: "council", what = "effect-start", mono, duty, epoch, to, until, "sending the switch to the new primary");
             };
-            let end = effect::tell(address, &statement, until, now + within, starts);
-            let _ = conducted.send(Conducted { switch: told, took: boottime() - now, end });
+            let end = effect::send_switch(address, &statement, until, now + within, starts);
+            let _ = conducted.send(SwitchEnded { switch: told, took: boottime() - now, end });
         };
         match std::thread::Builder::new().name("switch".into()).spawn(tells) {
             Ok(_) => {
                 if let Some(work) = self.works.get_mut(&switch.shard) {
-                    work.telling = true;
+                    work.switch_pending = true;
                 }
             }
             Err(error) => {
-                let end = Err(Unswitched::NotReached(error.to_string()));
-                self.switched(Conducted { switch, took: 0, end });
+                let end = Err(SwitchError::NotReached(error.to_string()));
+                self.on_switch_ended(SwitchEnded { switch, took: 0, end });
             }
         }
     }
 
-    /// Without a statement an operator switches the store; that it is done shows in who leads.
-    fn told_by_hand(&mut self, switch: &Switch) {
+    /// Without a configured statement an operator switches the store; the new primary shows that it is done.
+    fn switched_by_operator(&mut self, switch: &Switch) {
         let leads = ShardReport::Leads { server: switch.to.clone() };
         let facts = self.facts();
         let word = facts.planned.get(&switch.shard).and_then(|planned| planned.word.as_ref());
         if let Some(work) = self.works.get_mut(&switch.shard).filter(|_| word == Some(&leads)) {
-            work.told = Some((switch.to.clone(), SwitchResult::Confirmed));
+            work.switch_result = Some((switch.to.clone(), SwitchResult::Confirmed));
         }
         self.holder.record_waiting(&conductor_duty_of(switch.shard), false);
     }
 
-    /// An effect has ended.
-    pub(super) fn switched(&mut self, conducted: Conducted) {
-        let Conducted { switch, took, end } = conducted;
+    /// Handles the end of a switch.
+    pub(super) fn on_switch_ended(&mut self, conducted: SwitchEnded) {
+        let SwitchEnded { switch, took, end } = conducted;
         let (mono, duty, epoch, to) =
             (monotonic(), conductor_duty_of(switch.shard), switch.epoch, &switch.to);
         let ms = took / 1_000;
         let told = match &end {
             Ok(()) => {
-                info!(target: "council", what = "effect-end", mono, duty, epoch, to, ms, "the server leads");
+                info!(target: "council", what = "effect-end", mono, duty, epoch, to, ms, "the server confirmed that it is the primary");
                 SwitchResult::Confirmed
             }
-            Err(Unswitched::Fenced) => {
+            Err(SwitchError::Fenced) => {
                 warn!(target: "council", what = "effect-refused", mono, duty, epoch, to, ms, "it has seen a later epoch");
                 SwitchResult::Fenced
             }
@@ -219,13 +222,13 @@
                 SwitchResult::Unknown
             }
         };
-        // An answer to an older epoch than the one that is held now says nothing of this one.
+        // An answer to an older epoch says nothing about the current one.
         let Some(work) = self.works.get_mut(&switch.shard).filter(|work| work.epoch == epoch) else { return };
-        work.telling = false;
-        work.again = boottime() + AGAIN;
+        work.switch_pending = false;
+        work.retry_at = boottime() + SWITCH_RETRY_INTERVAL;
         if told == SwitchResult::Confirmed {
             self.holder.record_progress(&duty, true);
         }
-        work.told = Some((switch.to, told));
+        work.switch_result = Some((switch.to, told));
     }
 }
--- a/crates/gateway/src/council/effect.rs
+++ b/crates/gateway/src/council/effect.rs
@@ -1,6 +1,6 @@
-//! The one effect of a conductor: a statement that makes a server the primary, on a thread of its own with a bound on
-//! time. It carries shard, target and epoch, and may come twice: the server takes the same epoch again and refuses an
-//! older one.
+//! The effect of a conductor: a statement that makes a server the primary, sent from a thread of its own with a time
+//! limit. It contains shard, target and epoch and may be repeated: the server accepts the same epoch again and rejects
+//! older ones.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,21 +9,21 @@
 use tansyjunction::interface::Micros;
 use tansyjunction_duties::Switch;
 
-use super::fault::Unswitched;
+use super::fault::SwitchError;
 use crate::run::clock::{boottime, monotonic};
 use crate::wire::frames;
 
-/// The error by which a server refuses an epoch that is over: object not in prerequisite state.
-const FENCED: &str = "55000";
-/// A whole answer is a few short messages.
-const ANSWER_MOST: usize = 16_384;
+/// SQLSTATE by which a server rejects an old epoch: object not in prerequisite state.
+const SQLSTATE_FENCED: &str = "55000";
+/// Most bytes of an answer, which is a few short messages.
+const MAX_ANSWER_BYTES: usize = 16_384;
 
-/// Whether a name can stand in a statement without a way out of it.
+/// Whether a name can be inserted into a statement without escaping.
 pub fn is_plain(name: &str) -> bool {
     !name.is_empty() && name.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte))
 }
 
-/// A statement with what is to be switched in its places.
+/// Fills the placeholders of a statement.
 pub fn statement(template: &str, switch: &Switch) -> String {
     let epoch = switch.epoch.to_string();
     template
@@ -32,47 +32,47 @@
         .replace("{epoch}", &epoch)
 }
 
-/// Tells a server, by `until` at the latest (time of [`boottime`]); nothing is written after `starts_until`. `starts`
-/// is called right before, with a time of [`monotonic`] that lies before that end.
+/// Sends a switch to a server and waits for the answer until `until` (time of [`boottime`]). Nothing is written after
+/// `starts_until`. Calls `starts` immediately before writing, with a time of [`monotonic`] before that limit.
 ///
 /// # Errors
 ///
-/// Why it is not so, or may not be.
-pub fn tell(
+/// Why the switch failed, or may have failed.
+pub fn send_switch(
     address: SocketAddr,
     statement: &str,
     starts_until: Micros,
     until: Micros,
     starts: impl FnOnce(Micros),
-) -> Result<(), Unswitched> {
-    let lost = |error: std::io::Error| Unswitched::NotReached(error.to_string());
-    let mut stream = TcpStream::connect_timeout(&address, left(until).map_err(lost)?).map_err(lost)?;
+) -> Result<(), SwitchError> {
+    let lost = |error: std::io::Error| SwitchError::NotReached(error.to_string());
+    let mut stream = TcpStream::connect_timeout(&address, time_left(until).map_err(lost)?).map_err(lost)?;
     stream.set_nodelay(true).map_err(lost)?;
-    stream.set_write_timeout(Some(left(until).map_err(lost)?)).map_err(lost)?;
+    stream.set_write_timeout(Some(time_left(until).map_err(lost)?)).map_err(lost)?;
     stream.write_all(frames::START).map_err(lost)?;
     let mut inbox = Vec::new();
     loop {
-        match next(&mut stream, &mut inbox, until).map_err(|error| match error {
-            Unswitched::NoAnswer(why) => Unswitched::NotReached(why),
+        match next_message(&mut stream, &mut inbox, until).map_err(|error| match error {
+            SwitchError::NoAnswer(why) => SwitchError::NotReached(why),
             other => other,
         })? {
             (b'Z', _) => break,
-            (b'E', code) => return Err(Unswitched::NotReached(format!("error {code}"))),
+            (b'E', code) => return Err(SwitchError::NotReached(format!("error {code}"))),
             _ => {}
         }
     }
     let length = u32::try_from(statement.len() + 5).unwrap_or(u32::MAX);
     let query = [b"Q", &length.to_be_bytes()[..], statement.as_bytes(), b"\0"].concat();
-    // Guards against a process that stood still while it connected: its time may be over, and another's begun.
+    // The process may have been paused while it connected, so that the lease has expired.
     let mono = monotonic();
     if boottime() >= starts_until {
-        return Err(Unswitched::LeaseEnds);
+        return Err(SwitchError::LeaseEnds);
     }
     starts(mono);
-    stream.write_all(&query).map_err(|error| Unswitched::NoAnswer(error.to_string()))?;
+    stream.write_all(&query).map_err(|error| SwitchError::NoAnswer(error.to_string()))?;
     let (mut done, mut refused) = (false, None);
     loop {
-        match next(&mut stream, &mut inbox, until)? {
+        match next_message(&mut stream, &mut inbox, until)? {
             (b'Z', _) => break,
             (b'E', code) => refused = Some(code),
             (b'C', _) => done = true,
@@ -80,40 +80,44 @@
         }
     }
     match refused {
-        Some(code) if code == FENCED => Err(Unswitched::Fenced),
-        Some(code) => Err(Unswitched::Refused(code)),
+        Some(code) if code == SQLSTATE_FENCED => Err(SwitchError::Fenced),
+        Some(code) => Err(SwitchError::Refused(code)),
         None if done => Ok(()),
-        None => Err(Unswitched::NoAnswer("there was none".into())),
+        None => Err(SwitchError::NoAnswer("there was none".into())),
     }
 }
 
-fn left(until: Micros) -> std::io::Result<Duration> {
+fn time_left(until: Micros) -> std::io::Result<Duration> {
     match until.saturating_sub(boottime()) {
         0 => Err(ErrorKind::TimedOut.into()),
         micros => Ok(Duration::from_micros(micros)),
     }
 }
 
-/// The kind of the next message, and the code of an error.
-fn next(stream: &mut TcpStream, inbox: &mut Vec<u8>, until: Micros) -> Result<(u8, String), Unswitched> {
-    let lost = |error: std::io::Error| Unswitched::NoAnswer(error.to_string());
+/// Type of the next message, and the code if it is an error.
+fn next_message(
+    stream: &mut TcpStream,
+    inbox: &mut Vec<u8>,
+    until: Micros,
+) -> Result<(u8, String), SwitchError> {
+    let lost = |error: std::io::Error| SwitchError::NoAnswer(error.to_string());
     loop {
-        match frames::first(inbox, ANSWER_MOST) {
+        match frames::first(inbox, MAX_ANSWER_BYTES) {
             Ok(Some((kind, length))) => {
                 let message: Vec<u8> = inbox.drain(..length).collect();
                 let code = match kind {
-                    b'E' => frames::error_code(&message[frames::HEAD..]).unwrap_or("without a code"),
+                    b'E' => frames::error_code(&message[frames::HEADER_BYTES..]).unwrap_or("without a code"),
                     _ => "",
                 };
                 return Ok((kind, code.into()));
             }
             Ok(None) => {}
-            Err(_) => return Err(Unswitched::NoAnswer("it makes no sense".into())),
+            Err(_) => return Err(SwitchError::NoAnswer("it is invalid".into())),
         }
-        stream.set_read_timeout(Some(left(until).map_err(lost)?)).map_err(lost)?;
+        stream.set_read_timeout(Some(time_left(until).map_err(lost)?)).map_err(lost)?;
         let mut bytes = [0; 1_024];
         match stream.read(&mut bytes) {
-            Ok(0) => return Err(Unswitched::NoAnswer("the connection was ended".into())),
+            Ok(0) => return Err(SwitchError::NoAnswer("the connection was ended".into())),
             Ok(count) => inbox.extend_from_slice(&bytes[..count]),
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(error) => return Err(lost(error)),
@@ -129,10 +133,10 @@
 
     const SECOND: Micros = 1_000_000;
 
-    fn switch(store: &Store, to: usize, epoch: u64, starts_until: Micros) -> Result<(), Unswitched> {
+    fn switch(store: &Store, to: usize, epoch: u64, starts_until: Micros) -> Result<(), SwitchError> {
         let switch = Switch { shard: 0, to: Store::name(to), epoch };
         let text = statement("SELECT switch /* shard={shard},to={to},epoch={epoch} */", &switch);
-        tell(store.addresses[to], &text, starts_until, boottime() + SECOND, |_| {})
+        send_switch(store.addresses[to], &text, starts_until, boottime() + SECOND, |_| {})
     }
 
     #[test]
@@ -142,15 +146,15 @@
         let soon = boottime() + 10 * SECOND;
         assert_eq!(switch(&store, 1, 4, soon), Ok(()));
         assert_eq!(switch(&store, 1, 4, soon), Ok(()));
-        assert_eq!(switch(&store, 2, 3, soon), Err(Unswitched::Fenced));
+        assert_eq!(switch(&store, 2, 3, soon), Err(SwitchError::Fenced));
         assert_eq!(store.leader(0), Some(1));
         let told = store.ordered().len();
-        assert_eq!(switch(&store, 2, 5, boottime()), Err(Unswitched::LeaseEnds));
+        assert_eq!(switch(&store, 2, 5, boottime()), Err(SwitchError::LeaseEnds));
         assert_eq!((store.ordered().len(), store.leader(0)), (told, Some(1)));
         assert_eq!(switch(&store, 0, 5, soon), Ok(()));
         store.hang(2);
         let began = boottime();
-        assert!(matches!(switch(&store, 2, 6, soon), Err(Unswitched::NotReached(_))));
+        assert!(matches!(switch(&store, 2, 6, soon), Err(SwitchError::NotReached(_))));
         assert!(boottime() - began < 2 * SECOND);
     }
 
@@ -160,7 +164,7 @@
         let store = Store::start(shape).expect("a store");
         store.slow(Duration::from_millis(1_200));
         let end = switch(&store, 1, 1, boottime() + 10 * SECOND);
-        assert!(matches!(end, Err(Unswitched::NoAnswer(_))), "{end:?}");
+        assert!(matches!(end, Err(SwitchError::NoAnswer(_))), "{end:?}");
         assert_eq!(store.leader(0), Some(1));
     }
 
--- a/crates/gateway/src/council/fault.rs
+++ b/crates/gateway/src/council/fault.rs
@@ -1,11 +1,11 @@
-//! What keeps the council's part of a gateway from doing what it was asked, and what an operator can do.
+//! Errors of the consensus thread, with what an operator can do.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 /// Why a gateway does not start with `[council]`.
 #[derive(Debug, thiserror::Error)]
-pub enum Start {
+pub enum StartError {
     #[error("'council.seats' names {name}, but there is no 'store'")]
     NoStore { name: String },
     #[error("'council.store' is set, but {name} is not among 'seats'")]
@@ -16,33 +16,33 @@
     Listen { address: SocketAddr, cause: String },
     #[error("'council': {0}")]
     Terms(#[from] tansyjunction_duties::ConfigError),
-    #[error("the council's thread: {0}")]
+    #[error("the consensus thread: {0}")]
     Thread(String),
 }
 
-impl Start {
+impl StartError {
     pub fn remedy(&self) -> &'static str {
         match self {
-            Start::NoStore { .. } => "name a folder in 'store', or take the gateway out of 'seats'",
-            Start::NoSeat { .. } => "take 'store' away, or name the gateway in 'seats' everywhere",
-            Start::Keys { .. } => "give it one key a line, 64 hexadecimal digits, readable by this user",
-            Start::Listen { .. } => "choose an address of this machine that nothing else listens at",
-            Start::Terms(fault) => fault.remedy(),
-            Start::Thread(_) => "raise the limits on threads and descriptors of this user",
+            StartError::NoStore { .. } => "name a folder in 'store', or take the gateway out of 'seats'",
+            StartError::NoSeat { .. } => "take 'store' away, or name the gateway in 'seats' everywhere",
+            StartError::Keys { .. } => "give it one key a line, 64 hexadecimal digits, readable by this user",
+            StartError::Listen { .. } => "choose an address of this machine that nothing else listens at",
+            StartError::Terms(fault) => fault.remedy(),
+            StartError::Thread(_) => "raise the limits on threads and descriptors of this user",
         }
     }
 }
 
-/// Why an operator's word was not taken.
+/// Why an operator's request is refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unable {
-    #[error("the council is switched off")]
+pub enum RequestError {
+    #[error("consensus is disabled")]
     Off,
-    #[error("the council's part of this gateway does not answer")]
+    #[error("the consensus thread of this gateway does not respond")]
     Silent,
-    #[error("this gateway has not heard the agreed documents yet")]
+    #[error("this gateway has not received the agreed documents yet")]
     NotWhole,
-    #[error("'{0}' is not a word of the council")]
+    #[error("'{0}' is not a council request")]
     NoSuchWord(String),
     #[error("'{0}' is missing")]
     Missing(&'static str),
@@ -52,11 +52,11 @@
     NoShard(String),
     #[error("shard '{shard}' has no server '{server}'")]
     NoServer { server: String, shard: String },
-    #[error("nobody is known to lead shard '{0}'")]
+    #[error("shard '{0}' has no known primary")]
     NoPrimary(String),
-    #[error("{server} leads shard '{shard}' already")]
+    #[error("{server} is the primary of shard '{shard}' already")]
     Leads { server: String, shard: String },
-    #[error("'{0}' can't stand in a statement")]
+    #[error("'{0}' has characters that are not allowed in a statement")]
     BadName(String),
     #[error("a change of shard {shard} to {to} is under way: {step}")]
     UnderWay { shard: u32, to: String, step: String },
@@ -70,7 +70,7 @@
     Overtaken { name: String, version: u64, by: String },
     #[error("it was not decided in time; it may still be")]
     Undecided,
-    #[error("it is longer than a message may be")]
+    #[error("it is larger than the message limit")]
     TooLong,
     #[error("refused: {0}")]
     Refused(#[from] tansyjunction_duties::Refused),
@@ -78,42 +78,42 @@
     Otherwise(String),
 }
 
-impl Unable {
+impl RequestError {
     pub fn remedy(&self) -> &'static str {
         match self {
-            Unable::Off => "set 'enabled' of [council], and start the gateway anew",
-            Unable::Silent => "see its log; its disk may be slow",
-            Unable::NotWhole => "wait a moment; if it stays so, see whether it reaches a seat",
-            Unable::NoSuchWord(_) => "say status, show, propose, withdraw, plan or abort",
-            Unable::Missing(_) => "say it with the word",
-            Unable::NoNumber(_) => "change its primary by `tansyjunction handover`, at each gateway",
-            Unable::NoShard(_) | Unable::NoServer { .. } => {
+            RequestError::Off => "set 'enabled' of [council], and start the gateway anew",
+            RequestError::Silent => "see its log; its disk may be slow",
+            RequestError::NotWhole => "wait a moment; if it stays so, see whether it reaches a seat",
+            RequestError::NoSuchWord(_) => "say status, show, propose, withdraw, plan or abort",
+            RequestError::Missing(_) => "say it with the word",
+            RequestError::NoNumber(_) => "change its primary by `tansyjunction handover`, at each gateway",
+            RequestError::NoShard(_) | RequestError::NoServer { .. } => {
                 "see `tansyjunction handover status`, and discovery's list"
             }
-            Unable::NoPrimary(_) => "wait until a write or a probe has shown it; see `handover status`",
-            Unable::Leads { .. } => "nothing is to be done",
-            Unable::BadName(_) => "name servers with letters, digits, dots, dashes and underscores",
-            Unable::UnderWay { .. } => "wait for its end, or abort it first",
-            Unable::NothingUnderWay(_) => "see `tansyjunction council status`",
-            Unable::Reserved(_) => "use `tansyjunction council plan` and `abort`",
-            Unable::NoDocument(_) => "see `tansyjunction council status`",
-            Unable::Overtaken { .. } => "look at what is there now, and propose again",
-            Unable::Undecided => {
+            RequestError::NoPrimary(_) => "wait until a write or a probe has shown it; see `handover status`",
+            RequestError::Leads { .. } => "nothing is to be done",
+            RequestError::BadName(_) => "name servers with letters, digits, dots, dashes and underscores",
+            RequestError::UnderWay { .. } => "wait for its end, or abort it first",
+            RequestError::NothingUnderWay(_) => "see `tansyjunction council status`",
+            RequestError::Reserved(_) => "use `tansyjunction council plan` and `abort`",
+            RequestError::NoDocument(_) => "see `tansyjunction council status`",
+            RequestError::Overtaken { .. } => "look at what is there now, and propose again",
+            RequestError::Undecided => {
                 "see `tansyjunction council status`: more than half of the seats must be there"
             }
-            Unable::TooLong => "shorten it, or divide it into several documents",
-            Unable::Refused(refused) => refused.remedy(),
-            Unable::Otherwise(_) => "see `tansyjunction council status`, then say it again",
+            RequestError::TooLong => "shorten it, or divide it into several documents",
+            RequestError::Refused(refused) => refused.remedy(),
+            RequestError::Otherwise(_) => "see `tansyjunction council status`, then say it again",
         }
     }
 }
 
 /// Why a server was not made the primary, or may not have been.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unswitched {
-    #[error("no list names {0}")]
+pub enum SwitchError {
+    #[error("no server list contains {0}")]
     NoAddress(String),
-    #[error("the lease ends before it could be told")]
+    #[error("the lease ends too soon for the switch")]
     LeaseEnds,
     #[error("it was not reached: {0}")]
     NotReached(String),
@@ -121,19 +121,19 @@
     Refused(String),
     #[error("it has seen a later epoch")]
     Fenced,
-    #[error("its answer did not come in time or makes no sense: {0}")]
+    #[error("no valid answer in time: {0}")]
     NoAnswer(String),
 }
 
-impl Unswitched {
+impl SwitchError {
     pub fn remedy(&self) -> &'static str {
         match self {
-            Unswitched::NoAddress(_) => "see whether discovery lists the server",
-            Unswitched::LeaseEnds => "nothing, if it is rare; else lengthen 'lease'",
-            Unswitched::NotReached(_) => "see whether the server is up and reached from this gateway",
-            Unswitched::Refused(_) => "see the server's log; correct 'switch_statement'",
-            Unswitched::Fenced => "nothing: another gateway has taken over",
-            Unswitched::NoAnswer(_) => "nothing, if it is rare: it is told again; else see the server's log",
+            SwitchError::NoAddress(_) => "see whether discovery lists the server",
+            SwitchError::LeaseEnds => "nothing, if it is rare; else lengthen 'lease'",
+            SwitchError::NotReached(_) => "see whether the server is up and reached from this gateway",
+            SwitchError::Refused(_) => "see the server's log; correct 'switch_statement'",
+            SwitchError::Fenced => "nothing: another gateway has taken over",
+            SwitchError::NoAnswer(_) => "nothing, if it is rare: it is told again; else see the server's log",
         }
     }
 }
--- a/crates/gateway/src/council/member.rs
+++ b/crates/gateway/src/council/member.rs
@@ -1,4 +1,4 @@
-//! The thread's state and its rounds.
+//! State and main loop of the consensus thread.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::ErrorKind;
@@ -22,30 +22,30 @@
 use tansyjunction_settings::Council as Set;
 use tracing::{debug, error, info, warn};
 
-use super::conduct::{Conducted, Work};
-use super::words::Waiting;
-use super::{Facts, Order, Scouts, Told, read_keys};
+use super::conduct::{ConductedChange, SwitchEnded};
+use super::words::PendingRequest;
+use super::{AgreedPlans, Facts, ProbingHolders, ThreadCommand, read_keys};
 use crate::run::clock::{boottime, monotonic};
 
-/// Datagrams that are read before what is due has its turn.
-const TURN: usize = 256;
-/// Longest datagram of any kind, and the part of it that is for the message itself.
-const DATAGRAM: usize = 65_536;
-const BODY: usize = 60_000;
-/// A datagram that was on its way for longer is of no use to anybody. Nothing goes wrong by one that is old.
-const OLD_AFTER: Micros = 10_000_000;
-/// A round that comes later than it was to come by this part of a time means that the process stood still for that.
-const PAUSE_PART: Micros = 2;
-/// A gateway whose other thread has told nothing for so many beats of its own is not well.
-const BEATS_MOST: Micros = 8;
-const ILL: u8 = 8;
-/// After SIGTERM: until when duties are handed on and the gateway has left, or not.
-const LEAVES_WITHIN: Micros = 3_000_000;
-/// Rounds of proposing and applying before the socket has its turn again.
-const ROUNDS: usize = 4;
-
-/// What the thread starts with.
-pub struct Opening {
+/// Most datagrams read before timers are handled.
+const DATAGRAMS_PER_TURN: usize = 256;
+/// Largest datagram, and largest message body in one.
+const MAX_DATAGRAM_BYTES: usize = 65_536;
+const MAX_BODY_BYTES: usize = 60_000;
+/// Datagrams older than this are dropped. Older ones would be harmless.
+const MAX_DATAGRAM_AGE: Micros = 10_000_000;
+/// An iteration that is late by this fraction of an interval means that the process was paused.
+const PAUSE_DIVISOR: Micros = 2;
+/// A gateway whose serving thread has not reported for this many intervals is unhealthy.
+const MAX_MISSED_REPORTS: Micros = 8;
+const UNHEALTHY: u8 = 8;
+/// Time after SIGTERM to hand over duties and leave.
+const LEAVE_TIMEOUT: Micros = 3_000_000;
+/// Most rounds of proposing and applying before the socket is read again.
+const MAX_ROUNDS: usize = 4;
+
+/// Parameters of the thread.
+pub struct ThreadConfig {
     pub me: String,
     pub zone: String,
     pub life: u64,
@@ -55,28 +55,29 @@
     pub keys: Keys,
     pub key_file: PathBuf,
     pub socket: UdpSocket,
-    pub told: Arc<ArcSwap<Told>>,
-    pub scouts: Arc<ArcSwap<Scouts>>,
+    pub told: Arc<ArcSwap<AgreedPlans>>,
+    pub scouts: Arc<ArcSwap<ProbingHolders>>,
     pub facts: Arc<ArcSwap<Facts>>,
     pub agreed: Ping,
 }
 
-/// What a proposal of this gateway was for.
-pub(super) enum Ticket {
+/// Purpose of a proposal.
+pub(super) enum ProposalPurpose {
     Renewal,
-    /// A step of a shard's change.
+    /// A step of a shard's change of primary.
     Step(u32),
-    /// Answered when decided.
-    Word(Waiting),
-    /// A duty given back or handed on, and the last word of a gateway that leaves.
+    /// An operator's request, answered once it is decided.
+    Request(PendingRequest),
+    /// A duty released or handed over, or the final entry of a gateway that leaves.
     Parting,
-    /// What a seat found due.
+    /// An entry of the lease grantor.
     Due,
-    /// A duty of a group.
+    /// Creation of a group's probing duty.
     Opening(String),
 }
 
-pub struct Member {
+/// State of the thread.
+pub struct ConsensusThread {
     pub(super) me: String,
     zone: String,
     pub(super) set: Set,
@@ -87,89 +88,89 @@
     seals: Seals,
     key_file: PathBuf,
     socket: UdpSocket,
-    /// Where seats are reached, and where others were heard from last.
+    /// Addresses of the configured members, and of others as last seen.
     routes: BTreeMap<String, SocketAddr>,
     seed: u64,
-    told: Arc<ArcSwap<Told>>,
-    pub(super) scouts: Arc<ArcSwap<Scouts>>,
+    told: Arc<ArcSwap<AgreedPlans>>,
+    pub(super) scouts: Arc<ArcSwap<ProbingHolders>>,
     facts: Arc<ArcSwap<Facts>>,
     agreed: Ping,
-    pub(super) tickets: BTreeMap<u64, Ticket>,
-    pub(super) works: BTreeMap<u32, Work>,
-    pub(super) conducted: Sender<Conducted>,
-    /// Scouts' duties that were proposed from here, and how many probes each one that is held was told to have done.
+    pub(super) tickets: BTreeMap<u64, ProposalPurpose>,
+    pub(super) works: BTreeMap<u32, ConductedChange>,
+    pub(super) conducted: Sender<SwitchEnded>,
+    /// Probing duties proposed by this gateway, and the progress reported for each held one.
     pub(super) opened: BTreeSet<String>,
     pub(super) probes: BTreeMap<String, u64>,
-    /// Duties held by a lease that was told in the log, with their epochs.
+    /// Held duties whose lease was logged, with their epochs.
     granted: BTreeMap<String, u64>,
-    /// [`Told::newest`] that the other thread was told.
+    /// The [`AgreedPlans::newest`] last passed to the serving thread.
     newest: u64,
-    /// The council that it was of.
+    /// The cluster of that state.
     of: u64,
-    /// Renewals are asked at once: what this gateway says has changed.
-    says_anew: bool,
-    said: BTreeMap<String, String>,
-    /// Since when it leaves, and whether its last word is out, and decided.
+    /// Whether a renewal is sent at once because this gateway's report has changed.
+    renew_now: bool,
+    last_report: BTreeMap<String, String>,
+    /// Since when it leaves; whether the final entry was proposed, and decided.
     leaves: Option<Micros>,
     last_word: Option<u64>,
     left: bool,
-    /// The other thread needs this one no longer.
-    over: bool,
-    /// Why the seat stopped, once it has.
-    pub(super) broken: Option<ConsensusError>,
+    /// Whether the serving thread has ended this one.
+    ended: bool,
+    /// Why the member has stopped, if it has.
+    pub(super) failure: Option<ConsensusError>,
     pub(super) refused: u64,
     pub(super) slowest: Micros,
     due: Micros,
 }
 
-/// Runs until the other thread needs it no longer; `left` is told once the gateway has left.
-pub fn run(opening: Opening, orders: Channel<Order>, woken: PingSource, left: &SyncSender<()>) {
-    if let Err(message) = Member::begin(opening, orders, woken, left) {
+/// Runs until the serving thread ends it. Sends on `left` once the gateway has left.
+pub fn run(opening: ThreadConfig, orders: Channel<ThreadCommand>, woken: PingSource, left: &SyncSender<()>) {
+    if let Err(message) = ConsensusThread::begin(opening, orders, woken, left) {
         let mono = monotonic();
-        error!(target: "council", what = "stopped", mono, "the council's part of this gateway has stopped: {message}");
+        error!(target: "council", what = "stopped", mono, "the consensus thread has stopped: {message}");
     }
 }
 
-impl Member {
+impl ConsensusThread {
     fn begin(
-        opening: Opening,
-        orders: Channel<Order>,
+        opening: ThreadConfig,
+        orders: Channel<ThreadCommand>,
         woken: PingSource,
         left: &SyncSender<()>,
     ) -> Result<(), String> {
         let said = |error: &dyn std::fmt::Display| error.to_string();
-        let mut events: EventLoop<Member> = EventLoop::try_new().map_err(|error| said(&error))?;
+        let mut events: EventLoop<ConsensusThread> = EventLoop::try_new().map_err(|error| said(&error))?;
         let handle = events.handle();
         let socket = opening.socket.try_clone().map_err(|error| said(&error))?;
         let source = Generic::new(socket, Interest::READ, Mode::Level);
-        let ready = |_, _: &mut _, member: &mut Member| {
+        let ready = |_, _: &mut _, member: &mut ConsensusThread| {
             member.ready();
             Ok(PostAction::Continue)
         };
         handle.insert_source(source, ready).map_err(|error| said(&error.error))?;
-        let ordered = |event: Event<Order>, _: &mut (), member: &mut Member| match event {
-            Event::Msg(order) => member.ordered(order),
-            Event::Closed => member.over = true,
+        let ordered = |event: Event<ThreadCommand>, _: &mut (), member: &mut ConsensusThread| match event {
+            Event::Msg(order) => member.on_command(order),
+            Event::Closed => member.ended = true,
         };
         handle.insert_source(orders, ordered).map_err(|error| said(&error.error))?;
         handle.insert_source(woken, |(), _, _| {}).map_err(|error| said(&error.error))?;
         let (conducted, ends) = channel();
-        let ended = |event: Event<Conducted>, _: &mut (), member: &mut Member| {
+        let ended = |event: Event<SwitchEnded>, _: &mut (), member: &mut ConsensusThread| {
             if let Event::Msg(conducted) = event {
-                member.switched(conducted);
+                member.on_switch_ended(conducted);
             }
         };
         handle.insert_source(ends, ended).map_err(|error| said(&error.error))?;
-        let mut member = Member::new(opening, conducted)?;
+        let mut member = ConsensusThread::new(opening, conducted)?;
         let mut before = boottime();
-        // A seat that has left votes on as long as the process lasts.
-        while !member.over {
+        // A member that has left the duties votes until the process ends.
+        while !member.ended {
             let wait = member.due.saturating_sub(boottime());
             let round = events.dispatch(Duration::from_micros(wait), &mut member);
             round.map_err(|error| said(&error))?;
             let now = boottime();
-            member.stood_still(now, now.saturating_sub(before + wait));
-            member.settle();
+            member.restart_timers(now, now.saturating_sub(before + wait));
+            member.run_due();
             before = boottime();
             member.slowest = member.slowest.max(before - now);
             if std::mem::take(&mut member.left) {
@@ -179,19 +180,19 @@
         Ok(())
     }
 
-    fn new(opening: Opening, conducted: Sender<Conducted>) -> Result<Member, String> {
-        let Opening { me, zone, life, seed, set, terms, keys, key_file, socket, .. } = opening;
-        let sitting = sitting(&set);
+    fn new(opening: ThreadConfig, conducted: Sender<SwitchEnded>) -> Result<ConsensusThread, String> {
+        let ThreadConfig { me, zone, life, seed, set, terms, keys, key_file, socket, .. } = opening;
+        let sitting = consensus_config(&set);
         let mut broken = None;
-        // Here, not where commands are served: a disk that syncs slowly must not keep a gateway from serving. One
-        // whose store is of no use follows the others.
+        // Opened here, not in the serving thread: a slow disk must not keep the gateway from serving. A gateway with an
+        // unusable store is a follower.
         let council = match set.store.as_ref().map(|dir| store::open(dir)) {
             Some(Ok((disk, aside))) => {
                 if let Some((path, fault)) = aside {
                     let (path, remedy) = (path.display().to_string(), fault.remedy());
                     error!(
                         target: "council", what = "disk", mono = monotonic(), path, remedy,
-                        "the store was set aside: {fault}"
+                        "the consensus store was moved aside: {fault}"
                     );
                 }
                 ConsensusMember::seat(boottime(), &me, sitting.clone(), Box::new(disk), seed)
@@ -206,15 +207,15 @@
         };
         if let Some(fault) = &broken {
             let (mono, remedy) = (monotonic(), fault.remedy());
-            error!(target: "council", what = "disk", mono, remedy, "this seat can't sit, and follows: {fault}");
+            error!(target: "council", what = "disk", mono, remedy, "this gateway cannot be a voting member and continues as a follower: {fault}");
         }
         let now = boottime();
         let grantor = council.as_ref().map(|_| LeaseGrantor::new(terms.clone()));
         let council = council.unwrap_or_else(|| ConsensusMember::follower(now, &me, sitting, seed));
-        let seals = Seals::new(keys, &me, life, now, OLD_AFTER);
+        let seals = Seals::new(keys, &me, life, now, MAX_DATAGRAM_AGE);
         let routes = set.addresses.iter().cloned().collect();
-        info!(target: "council", what = "begins", mono = monotonic(), life, seat = grantor.is_some(), "takes part as {me}");
-        Ok(Member {
+        info!(target: "council", what = "begins", mono = monotonic(), life, seat = grantor.is_some(), "consensus started as {me}");
+        Ok(ConsensusThread {
             holder: LeaseHolder::new(&me, life, terms.clone()),
             me,
             zone,
@@ -239,13 +240,13 @@
             granted: BTreeMap::new(),
             newest: 0,
             of: 0,
-            says_anew: false,
-            said: BTreeMap::new(),
+            renew_now: false,
+            last_report: BTreeMap::new(),
             leaves: None,
             last_word: None,
             left: false,
-            over: false,
-            broken,
+            ended: false,
+            failure: broken,
             refused: 0,
             slowest: 0,
             due: now,
@@ -264,7 +265,7 @@
         self.facts.load_full()
     }
 
-    pub(super) fn propose(&mut self, entry: Entry, ticket: Ticket) -> u64 {
+    pub(super) fn propose(&mut self, entry: Entry, ticket: ProposalPurpose) -> u64 {
         let number = self.council.propose(boottime(), entry);
         self.tickets.insert(number, ticket);
         number
@@ -273,21 +274,21 @@
     // --- The socket ---
 
     fn ready(&mut self) {
-        let mut bytes = vec![0; DATAGRAM];
-        for _ in 0..TURN {
+        let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
+        for _ in 0..DATAGRAMS_PER_TURN {
             match self.socket.recv_from(&mut bytes) {
-                Ok((length, from)) => self.heard(from, &bytes[..length]),
+                Ok((length, from)) => self.on_datagram(from, &bytes[..length]),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
-                // A refused datagram of before: whoever it was for is not there.
+                // An earlier datagram was refused: its receiver is not there.
                 Err(_) => {}
             }
         }
     }
 
-    fn heard(&mut self, from: SocketAddr, bytes: &[u8]) {
+    fn on_datagram(&mut self, from: SocketAddr, bytes: &[u8]) {
         let now = boottime();
         let opened = match self.seals.open(now, bytes) {
-            Ok((head, body, _)) => addressed(body, &self.me).map(|body| (head.from, body)),
+            Ok((head, body, _)) => addressed_message(body, &self.me).map(|body| (head.from, body)),
             Err(_) => None,
         };
         let Some((name, body)) = opened else {
@@ -308,59 +309,59 @@
             whole.extend_from_slice(to.as_bytes());
             whole.extend_from_slice(&body);
             let bytes = self.seals.seal(boottime(), &whole);
-            // What the socket does not take is lost, as datagrams are.
+            // Datagrams that the socket does not accept are lost.
             let _ = self.socket.send_to(&bytes, address);
         }
     }
 
-    // --- Rounds ---
+    // --- Main loop ---
 
-    /// This round comes so late: what was due meanwhile starts anew. Guards against seats that, as they wake, take
-    /// all others for lost whose words still lie in the socket. That what ran out is not acted on needs no such care:
-    /// each use of a lease looks at the clock.
-    fn stood_still(&mut self, now: Micros, late: Micros) {
-        if late > self.set.elect_after / PAUSE_PART {
+    /// Restarts timers if this iteration is late by `late`. Otherwise members that wake up would consider all others
+    /// dead whose messages are still in the socket. Expired leases need no such care: each use of a lease reads the
+    /// clock.
+    fn restart_timers(&mut self, now: Micros, late: Micros) {
+        if late > self.set.elect_after / PAUSE_DIVISOR {
             self.council.restart_timers(now);
         }
-        if late > self.set.lease / PAUSE_PART {
+        if late > self.set.lease / PAUSE_DIVISOR {
             let ms = late / 1_000;
-            warn!(target: "council", what = "paused", mono = monotonic(), ms, "this thread stood still");
+            warn!(target: "council", what = "paused", mono = monotonic(), ms, "the consensus thread was paused");
             if let Some(grantor) = &mut self.grantor {
                 grantor.restart_timers(now);
             }
-            self.tell_ends();
+            self.log_ended_leases();
         }
     }
 
-    fn settle(&mut self) {
-        self.tell_ends();
-        if self.facts.load().leaves {
+    fn run_due(&mut self) {
+        self.log_ended_leases();
+        if self.facts.load().shutting_down {
             self.leave();
         }
-        for _ in 0..ROUNDS {
-            self.advance();
+        for _ in 0..MAX_ROUNDS {
+            self.run_consensus();
             let proposed = self.tickets.len();
             self.renew();
-            self.grant();
-            self.conduct();
+            self.propose_due();
+            self.conduct_changes();
             self.scout();
             if self.tickets.len() == proposed {
                 break;
             }
         }
-        self.advance();
-        self.tell_ends();
-        self.leaving();
+        self.run_consensus();
+        self.log_ended_leases();
+        self.continue_leaving();
         self.send();
         self.tell_scouts();
-        self.tell_agreed();
-        self.due = self.next();
+        self.publish_agreed();
+        self.due = self.next_due();
     }
 
-    /// Has the council do what is due, and takes up what it decided.
-    fn advance(&mut self) {
+    /// Runs the consensus member and handles its decisions and events.
+    fn run_consensus(&mut self) {
         if let Err(fault) = self.council.process(boottime()) {
-            self.stop_sitting(fault);
+            self.become_follower(fault);
         }
         let applied = self.council.take_applied();
         if let Some(grantor) = &mut self.grantor {
@@ -376,39 +377,39 @@
         for news in self.council.take_events() {
             match news {
                 MemberEvent::BecameLeader { term } => {
-                    info!(target: "council", what = "leads", mono, term, "this seat leads the council");
+                    info!(target: "council", what = "leads", mono, term, "this gateway is now the leader");
                 }
                 MemberEvent::FollowsLeader { leader, term } => {
                     let leader = leader.unwrap_or_default();
-                    info!(target: "council", what = "follows", mono, term, leader, "this gateway follows");
+                    info!(target: "council", what = "follows", mono, term, leader, "this gateway follows another leader, or none is known");
                 }
                 MemberEvent::NotMember => {
-                    warn!(target: "council", what = "stranger", mono, "this seat's store is new: it waits to be seated");
+                    warn!(target: "council", what = "stranger", mono, "the store is not a member yet; waiting to join");
                 }
                 MemberEvent::MemberAdded { name, votes } => {
-                    info!(target: "council", what = "seated", mono, name, votes, "a seat is taken");
+                    info!(target: "council", what = "seated", mono, name, votes, "a member was added");
                 }
                 MemberEvent::MemberRemoved { name } => {
-                    warn!(target: "council", what = "unseated", mono, name, "a seat is given up");
+                    warn!(target: "council", what = "unseated", mono, name, "a member was removed");
                 }
                 MemberEvent::DiskReplaced => {
-                    warn!(target: "council", what = "disk", mono, "the store was replaced while this seat was away");
+                    warn!(target: "council", what = "disk", mono, "the store was replaced while this gateway was away");
                 }
                 MemberEvent::ForeignCluster { from, council } => {
-                    error!(target: "council", what = "other", mono, from, council, "a gateway is of another council");
+                    error!(target: "council", what = "other", mono, from, council, "a gateway belongs to another cluster");
                 }
             }
         }
     }
 
-    /// The seat can't go on: its store is not touched again, and the gateway follows the others from now on.
-    fn stop_sitting(&mut self, fault: ConsensusError) {
+    /// The member cannot continue: its store is no longer used, and the gateway becomes a follower.
+    fn become_follower(&mut self, fault: ConsensusError) {
         let (mono, remedy) = (monotonic(), fault.remedy());
-        error!(target: "council", what = "disk", mono, remedy, "this seat has stopped: {fault}");
-        self.broken = Some(fault);
+        error!(target: "council", what = "disk", mono, remedy, "this member has stopped: {fault}");
+        self.failure = Some(fault);
         self.grantor = None;
         let now = boottime();
-        self.council = ConsensusMember::follower(now, &self.me, sitting(&self.set), self.seed ^ now);
+        self.council = ConsensusMember::follower(now, &self.me, consensus_config(&self.set), self.seed ^ now);
         for (_, ticket) in std::mem::take(&mut self.tickets) {
             self.undecided(ticket);
         }
@@ -417,17 +418,19 @@
     fn decided(&mut self, number: u64, outcome: Result<(u64, Outcome), ProposalError>) {
         if self.last_word == Some(number) {
             self.left = true;
-            // Guards against an election at each planned restart of the leading seat, in which no lease is renewed.
+            // Avoids an election at each planned restart of the leader, during which no lease is renewed.
             self.council.transfer_leadership();
         }
         match (self.tickets.remove(&number), outcome) {
-            (Some(Ticket::Renewal), Ok((_, outcome))) => {
+            (Some(ProposalPurpose::Renewal), Ok((_, outcome))) => {
                 self.holder.on_outcome(boottime(), &outcome);
                 self.renewed(&outcome);
             }
-            (Some(Ticket::Step(shard)), Ok((index, outcome))) => self.stepped(shard, index, &outcome),
-            (Some(Ticket::Word(waiting)), outcome) => waiting.decided(self.register(), outcome),
-            (Some(Ticket::Parting), Ok((index, outcome))) => {
+            (Some(ProposalPurpose::Step(shard)), Ok((index, outcome))) => {
+                self.on_step_decided(shard, index, &outcome)
+            }
+            (Some(ProposalPurpose::Request(waiting)), outcome) => waiting.decided(self.register(), outcome),
+            (Some(ProposalPurpose::Parting), Ok((index, outcome))) => {
                 debug!(target: "council", what = "parted", mono = monotonic(), index, ?outcome, "decided");
             }
             (Some(ticket), Err(_)) => self.undecided(ticket),
@@ -435,15 +438,17 @@
         }
     }
 
-    fn undecided(&mut self, ticket: Ticket) {
+    fn undecided(&mut self, ticket: ProposalPurpose) {
         match ticket {
-            Ticket::Step(shard) => {
+            ProposalPurpose::Step(shard) => {
                 if let Some(work) = self.works.get_mut(&shard) {
                     work.proposed = false;
                 }
             }
-            Ticket::Word(waiting) => waiting.decided(self.register(), Err(ProposalError::Timeout)),
-            Ticket::Opening(duty) => drop(self.opened.remove(&duty)),
+            ProposalPurpose::Request(waiting) => {
+                waiting.decided(self.register(), Err(ProposalError::Timeout))
+            }
+            ProposalPurpose::Opening(duty) => drop(self.opened.remove(&duty)),
             _ => {}
         }
     }
@@ -451,44 +456,44 @@
     // --- Leases ---
 
     fn renewed(&mut self, outcome: &Outcome) {
-        self.tell_ends();
+        self.log_ended_leases();
         let Outcome::Renewed(all) = outcome else { return };
         for renewed in all.iter().filter(|renewed| renewed.gateway == self.me) {
             if let Err(refused) = &renewed.attends {
                 let (mono, remedy) = (monotonic(), refused.remedy());
-                debug!(target: "council", what = "renewed-late", mono, remedy, "no attendance yet: {refused}");
+                debug!(target: "council", what = "renewed-late", mono, remedy, "attendance was not renewed: {refused}");
             }
         }
     }
 
-    /// Tells of leases that have ended, and gives back what was taken away.
-    fn tell_ends(&mut self) {
+    /// Logs leases that have ended, and releases revoked duties.
+    fn log_ended_leases(&mut self) {
         let now = boottime();
         for ended in self.holder.take_ended(now) {
             let (mono, duty, epoch) = (monotonic(), &ended.duty, ended.epoch);
             match ended.why {
                 LeaseEndReason::RanOut => {
                     let until = self.holder.until(duty).map_or(mono, |until| in_mono(now, until));
-                    warn!(target: "council", what = "lapsed", mono, duty, epoch, until, "a duty's lease has run out");
+                    warn!(target: "council", what = "lapsed", mono, duty, epoch, until, "the lease of a duty has expired");
                 }
                 LeaseEndReason::TakenAway => {
-                    warn!(target: "council", what = "revoked", mono, duty, epoch, "a duty was taken away");
+                    warn!(target: "council", what = "revoked", mono, duty, epoch, "a duty was revoked");
                 }
                 LeaseEndReason::Stopped => {
-                    info!(target: "council", what = "ended", mono, duty, epoch, "this gateway acts for it no more");
+                    info!(target: "council", what = "ended", mono, duty, epoch, "this gateway has stopped performing a duty");
                 }
             }
-            // A renewal that comes late may bring it back at the same epoch, perhaps before this end was told.
+            // A late renewal may restore it at the same epoch, perhaps before its end was logged.
             self.granted.remove(duty);
             if let Some(entry) = LeaseHolder::release_after(&ended) {
-                self.propose(entry, Ticket::Parting);
+                self.propose(entry, ProposalPurpose::Parting);
             }
         }
-        self.tell_begun();
+        self.log_granted_leases();
     }
 
-    /// Tells of leases that have begun, or have come back by a renewal that was decided late.
-    fn tell_begun(&mut self) {
+    /// Logs leases that have begun, or were restored by a late renewal.
+    fn log_granted_leases(&mut self) {
         let now = boottime();
         for (duty, epoch, until) in self.holder.duties(now) {
             if self.granted.get(duty) == Some(&epoch) {
@@ -496,11 +501,11 @@
             }
             self.granted.insert(duty.into(), epoch);
             let (mono, until) = (monotonic(), in_mono(now, until));
-            info!(target: "council", what = "granted", mono, duty, epoch, until, "this gateway holds a duty");
+            info!(target: "council", what = "granted", mono, duty, epoch, until, "a duty was granted to this gateway");
         }
     }
 
-    /// Asks for a renewal if one is due.
+    /// Proposes a renewal if one is due.
     fn renew(&mut self) {
         let facts = self.facts();
         let says: BTreeMap<String, String> = facts
@@ -508,29 +513,29 @@
             .iter()
             .filter_map(|(shard, planned)| planned.word.as_ref().map(|word| word.to_entry(*shard)))
             .collect();
-        // What others wait for is told at once, not with the next beat.
-        self.says_anew |= says != self.said;
+        // A changed report is sent at once, since others wait for it.
+        self.renew_now |= says != self.last_report;
         let now = boottime();
-        if self.last_word.is_some() || !(self.holder.due(now, self.register()) || self.says_anew) {
+        if self.last_word.is_some() || !(self.holder.due(now, self.register()) || self.renew_now) {
             return;
         }
-        let deaf = now > facts.at + BEATS_MOST * (self.set.attend_every / 2);
-        self.said.clone_from(&says);
-        self.says_anew = false;
+        let deaf = now > facts.at + MAX_MISSED_REPORTS * (self.set.attend_every / 2);
+        self.last_report.clone_from(&says);
+        self.renew_now = false;
         let own = GatewayReport {
-            taken: facts.taken,
+            taken: facts.adopted,
             zone: self.zone.clone(),
-            health: if deaf { ILL } else { facts.health },
+            health: if deaf { UNHEALTHY } else { facts.health },
             room: if self.leaves.is_some() { 0 } else { facts.room },
             says,
         };
         let now = boottime();
         let renewal = self.holder.create_renewal(now, self.council.state(), own);
-        self.propose(Entry::Renewals(vec![renewal]), Ticket::Renewal);
+        self.propose(Entry::Renewals(vec![renewal]), ProposalPurpose::Renewal);
     }
 
-    /// At a seat: proposes what has run out, who is next.
-    fn grant(&mut self) {
+    /// On voting members: proposes expiries, revocations and grants.
+    fn propose_due(&mut self) {
         let Some(grantor) = &mut self.grantor else { return };
         let suspected: BTreeSet<String> = self.facts.load().suspected.iter().cloned().collect();
         let evidence = ElectionEvidence {
@@ -542,33 +547,33 @@
             let mono = monotonic();
             match &entry {
                 Entry::Expire { duty, epoch, .. } => {
-                    info!(target: "council", what = "expires", mono, duty, epoch, "a lease is over by this seat's clock");
+                    info!(target: "council", what = "expires", mono, duty, epoch, "proposing to expire a lease");
                 }
                 Entry::Revoke { duty, epoch, why, .. } => {
                     let why = format!("{why:?}").to_lowercase();
-                    warn!(target: "council", what = "revokes", mono, duty, epoch, why, "a duty is to be taken away");
+                    warn!(target: "council", what = "revokes", mono, duty, epoch, why, "proposing to revoke a duty");
                 }
                 Entry::Grant { duty, after_epoch, to } => {
                     let epoch = after_epoch + 1;
-                    info!(target: "council", what = "grants", mono, duty, epoch, to, "a duty is to be given");
+                    info!(target: "council", what = "grants", mono, duty, epoch, to, "proposing to grant a duty");
                 }
                 Entry::Absent { gateway, .. } => {
-                    info!(target: "council", what = "absent", mono, gateway, "a gateway is to be counted out");
+                    info!(target: "council", what = "absent", mono, gateway, "proposing to end a gateway's attendance");
                 }
                 _ => {}
             }
-            self.propose(entry, Ticket::Due);
+            self.propose(entry, ProposalPurpose::Due);
         }
     }
 
-    // --- The end ---
+    // --- Shutdown ---
 
-    fn ordered(&mut self, order: Order) {
+    fn on_command(&mut self, order: ThreadCommand) {
         match order {
-            Order::Answer(asked) => self.asked(asked),
-            Order::Rekey => match read_keys(&self.key_file) {
+            ThreadCommand::Answer(asked) => self.asked(asked),
+            ThreadCommand::Rekey => match read_keys(&self.key_file) {
                 Ok(keys) => self.seals.rekey(keys),
-                Err(message) => error!(target: "council", "the keys stay as they were: {message}"),
+                Err(message) => error!(target: "council", "the key file was not reloaded: {message}"),
             },
         }
     }
@@ -576,18 +581,18 @@
     fn leave(&mut self) {
         if self.leaves.is_none() {
             self.leaves = Some(boottime());
-            info!(target: "council", what = "leaves", mono = monotonic(), "duties are handed on");
+            info!(target: "council", what = "leaves", mono = monotonic(), "shutting down: handing over duties");
         }
     }
 
-    /// Hands on what is held, each to the gateway that an election would choose, then says that it leaves.
-    fn leaving(&mut self) {
+    /// Hands over held duties to the gateways that an election would choose, then leaves.
+    fn continue_leaving(&mut self) {
         let Some(since) = self.leaves else { return };
         let now = boottime();
         if self.last_word.is_some() {
             return;
         }
-        if now > since + LEAVES_WITHIN {
+        if now > since + LEAVE_TIMEOUT {
             self.last_word = Some(0);
             self.left = true;
             return;
@@ -595,8 +600,8 @@
         let held: Vec<(String, u64)> =
             self.holder.duties(now).map(|(duty, epoch, _)| (duty.into(), epoch)).collect();
         for (duty, epoch) in held {
-            // An effect that is under way ends first: nothing of this epoch is done once the next one holds it.
-            if self.telling(&duty) {
+            // A switch in progress ends first: nothing may be done under this epoch once the next one is held.
+            if self.switch_in_progress(&duty) {
                 continue;
             }
             let next = self.next_holder(&duty);
@@ -606,22 +611,22 @@
             };
             let Some(entry) = entry else { continue };
             let (mono, to) = (monotonic(), next.unwrap_or_default());
-            info!(target: "council", what = "handed-on", mono, duty, epoch, to, "a duty is handed on");
-            self.propose(entry, Ticket::Parting);
+            info!(target: "council", what = "handed-on", mono, duty, epoch, to, "proposing to hand over a duty");
+            self.propose(entry, ProposalPurpose::Parting);
         }
-        self.tell_ends();
-        let parting = self.tickets.values().any(|ticket| matches!(ticket, Ticket::Parting));
+        self.log_ended_leases();
+        let parting = self.tickets.values().any(|ticket| matches!(ticket, ProposalPurpose::Parting));
         let holds = self.holder.duties(now).next().is_some();
         if !parting && !holds {
             let entry = self.holder.leave(now);
-            self.last_word = Some(self.propose(entry, Ticket::Parting));
+            self.last_word = Some(self.propose(entry, ProposalPurpose::Parting));
         }
         if let Err(fault) = self.council.process(boottime()) {
-            self.stop_sitting(fault);
+            self.become_follower(fault);
         }
     }
 
-    /// Who would be chosen if the duty were vacant and this gateway not there.
+    /// The gateway that would be elected if the duty were vacant and this gateway absent.
     fn next_holder(&self, duty: &str) -> Option<String> {
         let mut register = self.register().clone();
         let stands = register.duties.get_mut(duty)?;
@@ -632,15 +637,15 @@
         elect(&register, &ElectionEvidence { suspected, ..ElectionEvidence::default() }, duty).ok()
     }
 
-    // --- The other thread ---
+    // --- Serving thread ---
 
-    /// Tells the other thread of documents that have changed.
-    fn tell_agreed(&mut self) {
+    /// Passes changed documents to the serving thread.
+    fn publish_agreed(&mut self) {
         let newest = self.register().newest;
         if newest == self.newest || !self.register().is_complete() || self.register().index == 0 {
             return;
         }
-        // Never back to less, unless in another council: a gateway that lost its seat knows nothing at first.
+        // Never goes back to an older state, unless in another cluster: a gateway that lost its store starts from none.
         let council = self.council.status().council;
         if newest < self.newest && council == self.of {
             return;
@@ -660,20 +665,20 @@
                 (monotonic(), format!("{:?}", plan.step).to_lowercase(), plan.epoch, &plan.to);
             info!(
                 target: "council", what = "document", mono, name = plan_document_of(*shard), version, step, to, epoch,
-                number = plan.number, why = plan.why, "a change of primary goes on"
+                number = plan.number, why = plan.why, "the plan of a change of primary was updated"
             );
         }
         self.newest = newest;
-        self.told.store(Arc::new(Told { newest, plans }));
+        self.told.store(Arc::new(AgreedPlans { newest, plans }));
         self.agreed.ping();
     }
 
-    fn next(&self) -> Micros {
+    fn next_due(&self) -> Micros {
         let now = boottime();
-        let waits = self.works.values().filter_map(Work::next);
+        let waits = self.works.values().filter_map(ConductedChange::next_check);
         let ends = self.holder.next_end(now);
         let grants = self.grantor.as_ref().and_then(|grantor| grantor.next_due(now));
-        // What was granted and is not renewed yet is asked for a little after the last renewal.
+        // A newly granted duty gets its first renewal shortly after the last one.
         let granted = self.register().held_by(&self.me, self.holder.life());
         let soon = granted.into_iter().any(|(duty, epoch)| self.granted.get(duty) != Some(&epoch));
         let soon = soon.then(|| now + self.terms.renew_interval / 10);
@@ -685,7 +690,7 @@
     }
 }
 
-fn sitting(set: &Set) -> Sitting {
+fn consensus_config(set: &Set) -> Sitting {
     Sitting {
         seats: set.seats.clone(),
         heartbeat_interval: set.beat,
@@ -693,20 +698,20 @@
         retry_interval: set.ask_every,
         proposal_timeout: 2 * set.lease,
         compact_after: set.compact_after,
-        max_message_bytes: BODY,
+        max_message_bytes: MAX_BODY_BYTES,
         ..Sitting::default()
     }
 }
 
-/// The message in what is for this gateway; None: it is for another one. Guards against what is sealed for one seat and
-/// played to another.
-fn addressed<'a>(whole: &'a [u8], me: &str) -> Option<&'a [u8]> {
+/// The message in a datagram addressed to this gateway; `None` if it is for another one. Prevents replay of a message
+/// sealed for another member.
+fn addressed_message<'a>(whole: &'a [u8], me: &str) -> Option<&'a [u8]> {
     let (length, rest) = whole.split_first()?;
     let (to, body) = rest.split_at_checked(usize::from(*length))?;
     (to == me.as_bytes()).then_some(body)
 }
 
-/// A time of the clock of leases as one of the log's clock.
+/// Converts a time of the lease clock to the log's clock.
 pub(super) fn in_mono(now: Micros, at: Micros) -> Micros {
     (monotonic() + at).saturating_sub(now)
 }
@@ -717,10 +722,10 @@
 
     #[test]
     fn what_is_for_another_gateway_or_cut_short_is_not_heard() {
-        assert_eq!(addressed(b"\x02n1body", "n1"), Some(&b"body"[..]));
-        assert_eq!(addressed(b"\x02n1", "n1"), Some(&b""[..]));
+        assert_eq!(addressed_message(b"\x02n1body", "n1"), Some(&b"body"[..]));
+        assert_eq!(addressed_message(b"\x02n1", "n1"), Some(&b""[..]));
         for (whole, me) in [(&b"\x02n1body"[..], "n2"), (b"", "n1"), (b"\x09n1", "n1"), (b"\x01n1", "n1")] {
-            assert_eq!(addressed(whole, me), None);
+            assert_eq!(addressed_message(whole, me), None);
         }
     }
 }
--- a/crates/gateway/src/council/mod.rs
+++ b/crates/gateway/src/council/mod.rs
@@ -1,8 +1,9 @@
-//! The agreed part of a gateway on a thread of its own: the council's member, its store and its socket, the clocks of
-//! leases, and the conductor's effect. Nothing is decided here.
+//! The consensus thread of a gateway: its member, store and socket, lease timers, and the effect of conducted changes.
+//! Makes no decisions.
 //!
-//! The thread that serves commands never waits for this one: it reads what was agreed from a snapshot ([`Told`]) when
-//! it is woken, and puts what it knows into another ([`Facts`]). Operators' words pass through a bounded queue.
+//! The thread that serves commands never waits for this one. It reads the agreed state from a snapshot
+//! ([`AgreedPlans`]) when it is woken, and writes what it knows to another one ([`Facts`]). Operators' requests go
+//! through a bounded queue.
 
 mod conduct;
 mod effect;
@@ -29,134 +30,135 @@
 use tansyjunction_fellows::seal::Keys;
 use tansyjunction_settings::Council as Set;
 
-pub use self::fault::{Start, Unable};
-use self::member::Opening;
-pub use self::words::unable;
+pub use self::fault::{RequestError, StartError};
+use self::member::ThreadConfig;
+pub use self::words::error_json;
 
-/// Words of operators that may wait at once.
-const WORDS_MOST: usize = 16;
-/// How long the thread may take to end once it is told to.
-const ENDS_WITHIN: Duration = Duration::from_millis(500);
-/// Keys for the council's datagrams come from those of the file by this: what is sealed for the fellows opens for no
-/// seat.
-const USE: &str = "tansyjunction council datagrams 1";
+/// Most operators' requests in the queue.
+const MAX_QUEUED_REQUESTS: usize = 16;
+/// Time for the thread to end once it is told to.
+const THREAD_JOIN_TIMEOUT: Duration = Duration::from_millis(500);
+/// Context string that derives the keys of consensus datagrams from those of the key file, so that datagrams of the
+/// membership protocol are not accepted here.
+const KEY_CONTEXT: &str = "tansyjunction council datagrams 1";
 
-/// What was agreed, as far as commands mind it.
+/// The agreed state as far as it matters for commands.
 #[derive(Clone, Debug, Default)]
-pub struct Told {
-    /// Index of the last change of a document in it.
+pub struct AgreedPlans {
+    /// Index of the last change of a document.
     pub newest: u64,
-    /// Each shard's change of primary, under way or the last one.
+    /// Each shard's current or last change of primary.
     pub plans: BTreeMap<u32, Plan>,
 }
 
-/// A member of a shard with a change of primary under way.
+/// A server of a shard whose primary changes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
     pub address: SocketAddr,
     pub leaving: bool,
 }
 
-/// What this gateway knows of a shard with a change of primary under way.
+/// What this gateway knows about a shard whose primary changes.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Planned {
+pub struct PlannedShard {
     pub word: Option<ShardReport>,
-    /// None: no list of servers has come yet.
+    /// `None`: no server list yet.
     pub servers: Option<BTreeMap<String, Server>>,
 }
 
-/// What the thread that serves commands tells of this gateway.
+/// What the serving thread reports about this gateway.
 #[derive(Clone, Debug, Default)]
 pub struct Facts {
-    /// When it was told, by the clock of leases.
+    /// Time of the report on the lease clock.
     pub at: Micros,
-    /// [`Told::newest`] of what it acts by.
-    pub taken: u64,
-    /// 0 is well, 8 the worst.
+    /// The [`AgreedPlans::newest`] that it acts by.
+    pub adopted: u64,
+    /// 0 is healthy, 8 the worst.
     pub health: u8,
-    /// Tenths of its room.
+    /// Tenths of the capacity that are free.
     pub room: u8,
-    /// SIGTERM has come: duties are handed on, then the gateway leaves.
-    pub leaves: bool,
-    /// Gateways that the fellows take for lost.
+    /// SIGTERM was received: duties are handed over, then the gateway leaves.
+    pub shutting_down: bool,
+    /// Gateways that the failure detector considers down.
     pub suspected: Vec<String>,
-    pub planned: BTreeMap<u32, Planned>,
-    /// By the name of each group that may have a scout.
-    pub scouted: BTreeMap<String, Scouted>,
+    pub planned: BTreeMap<u32, PlannedShard>,
+    /// By the name of each group that may have a probing duty.
+    pub probing: BTreeMap<String, GroupProbes>,
 }
 
-/// What this gateway did of a group's probes.
+/// This gateway's probes of a group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Scouted {
-    /// Probes that ended, and those that the scout's word stood in for.
+pub struct GroupProbes {
+    /// Probes that ended, and probes replaced by the duty holder's result.
     pub probes: u64,
     pub spared: u64,
-    /// Some are out.
-    pub waits: bool,
+    /// Whether probes are in flight.
+    pub in_flight: bool,
 }
 
-/// Who scouts which group, as agreed.
+/// Holders of the probing duties by the agreed state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Scouts {
-    /// What is agreed may be newer from then on, since this gateway's attendance has run out; by the clock of leases.
+pub struct ProbingHolders {
+    /// End of validity on the lease clock: then this gateway's attendance expires, and the state may be outdated.
     pub until: Micros,
-    /// Holders by groups' names.
-    pub of: BTreeMap<String, String>,
+    /// Holders by group name.
+    pub by_group: BTreeMap<String, String>,
 }
 
-/// An operator's word, and where the answer goes.
-pub struct Asked {
+/// An operator's request, and where to send the answer.
+pub struct OperatorRequest {
     pub word: Json,
     pub stream: UnixStream,
-    /// Of a change of primary, what the gateway knows: the shard's number and its primary.
+    /// For a change of primary: the shard's number and its primary as known by this gateway.
     pub shard: Option<(u32, String)>,
 }
 
-pub enum Order {
-    Answer(Asked),
-    /// The key file is to be read again.
+/// Commands to the consensus thread.
+pub enum ThreadCommand {
+    Answer(OperatorRequest),
+    /// Read the key file again.
     Rekey,
 }
 
-/// The other thread, as the one that serves commands has it.
+/// Handle of the consensus thread, held by the serving thread.
 pub struct Handle {
-    told: Arc<ArcSwap<Told>>,
-    scouts: Arc<ArcSwap<Scouts>>,
+    told: Arc<ArcSwap<AgreedPlans>>,
+    scouts: Arc<ArcSwap<ProbingHolders>>,
     facts: Arc<ArcSwap<Facts>>,
-    orders: SyncSender<Order>,
-    /// Wakes the other thread; it reads the facts.
+    orders: SyncSender<ThreadCommand>,
+    /// Wakes the consensus thread to read the facts.
     wake: Ping,
     over: Receiver<()>,
     thread: Option<JoinHandle<()>>,
     pub beat: Micros,
 }
 
-/// Who opens, for the messages.
-pub struct Who<'a> {
+/// Identity of the gateway.
+pub struct Identity<'a> {
     pub name: &'a str,
     pub zone: &'a str,
-    /// Larger than that of any earlier process under this name: Unix time in milliseconds.
+    /// Larger than that of any earlier process of this name: Unix time in milliseconds.
     pub life: u64,
     pub seed: u64,
 }
 
-/// Starts the thread. The second value wakes the thread that serves commands when something was agreed.
+/// Starts the thread. The second value wakes the serving thread when something was decided.
 ///
 /// # Errors
 ///
-/// What is wrong with the settings, the store, the socket or the keys.
-pub fn open(set: &Set, who: &Who) -> Result<(Handle, PingSource), Start> {
+/// Names what is wrong with the settings, the store, the socket or the keys.
+pub fn open(set: &Set, who: &Identity) -> Result<(Handle, PingSource), StartError> {
     let seat = set.seats.iter().any(|seat| seat == who.name);
     let name = || who.name.to_string();
     match (&set.store, seat) {
-        (None, true) => return Err(Start::NoStore { name: name() }),
-        (Some(_), false) => return Err(Start::NoSeat { name: name() }),
+        (None, true) => return Err(StartError::NoStore { name: name() }),
+        (Some(_), false) => return Err(StartError::NoSeat { name: name() }),
         _ => {}
     }
     let key_file = set.key_file.clone().unwrap_or_default();
-    let keys = read_keys(&key_file).map_err(|cause| Start::Keys { path: key_file.clone(), cause })?;
+    let keys = read_keys(&key_file).map_err(|cause| StartError::Keys { path: key_file.clone(), cause })?;
     let address = set.listen.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)));
-    let said = |error: std::io::Error| Start::Listen { address, cause: error.to_string() };
+    let said = |error: std::io::Error| StartError::Listen { address, cause: error.to_string() };
     let socket = UdpSocket::bind(address).map_err(said)?;
     socket.set_nonblocking(true).map_err(said)?;
     let terms = LeaseConfig {
@@ -169,14 +171,14 @@
         ..LeaseConfig::default()
     };
     terms.check()?;
-    let thread_fault = |error: &dyn std::fmt::Display| Start::Thread(error.to_string());
+    let thread_fault = |error: &dyn std::fmt::Display| StartError::Thread(error.to_string());
     let (agreed, woken) = make_ping().map_err(|error| thread_fault(&error))?;
     let (wake, woken_here) = make_ping().map_err(|error| thread_fault(&error))?;
-    let (orders, taken) = calloop_sync(WORDS_MOST);
-    let (told, facts) = <(Arc<ArcSwap<Told>>, Arc<ArcSwap<Facts>>)>::default();
-    let scouts = Arc::<ArcSwap<Scouts>>::default();
+    let (orders, taken) = calloop_sync(MAX_QUEUED_REQUESTS);
+    let (told, facts) = <(Arc<ArcSwap<AgreedPlans>>, Arc<ArcSwap<Facts>>)>::default();
+    let scouts = Arc::<ArcSwap<ProbingHolders>>::default();
     let (ended, over) = sync_channel(1);
-    let opening = Opening {
+    let opening = ThreadConfig {
         me: name(),
         zone: who.zone.into(),
         life: who.life,
@@ -200,36 +202,39 @@
 
 fn read_keys(path: &std::path::Path) -> Result<Keys, String> {
     let text = std::fs::read_to_string(path).map_err(|error| error.to_string())?;
-    Ok(Keys::read(&text)?.for_use(USE))
+    Ok(Keys::read(&text)?.for_use(KEY_CONTEXT))
 }
 
 impl Handle {
-    pub fn told(&self) -> Arc<Told> {
+    /// The last agreed plans.
+    pub fn agreed(&self) -> Arc<AgreedPlans> {
         self.told.load_full()
     }
 
-    pub fn scouts(&self) -> Arc<Scouts> {
+    /// The last holders of probing duties.
+    pub fn probing_holders(&self) -> Arc<ProbingHolders> {
         self.scouts.load_full()
     }
 
-    pub fn tell(&self, facts: Facts, at_once: bool) {
+    /// Updates the facts; wakes the thread if `at_once`.
+    pub fn report(&self, facts: Facts, at_once: bool) {
         self.facts.store(Arc::new(facts));
         if at_once {
             self.wake.ping();
         }
     }
 
-    /// False: the other thread is gone, or has more orders than it takes.
-    pub fn order(&self, order: Order) -> bool {
+    /// Queues a command; false if the thread is gone or its queue is full.
+    pub fn send(&self, order: ThreadCommand) -> bool {
         self.orders.try_send(order).is_ok()
     }
 
-    /// Ends the thread: after [`Facts::leaves`] it has so long to hand on duties. A disk that does not answer keeps
-    /// nobody.
+    /// Ends the thread. After [`Facts::leaves`] it may take up to `most` to hand over duties; a disk that does not
+    /// respond does not delay the process.
     pub fn join(mut self, most: Duration) {
         let _ = self.over.recv_timeout(most);
         drop(self.orders);
-        let ended = self.over.recv_timeout(ENDS_WITHIN) == Err(RecvTimeoutError::Disconnected);
+        let ended = self.over.recv_timeout(THREAD_JOIN_TIMEOUT) == Err(RecvTimeoutError::Disconnected);
         if ended && let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
--- a/crates/gateway/src/council/status.rs
+++ b/crates/gateway/src/council/status.rs
@@ -1,13 +1,13 @@
-//! How the council stands, for operators.
+//! Status of the consensus for operators.
 
 use serde_json::{Value as Json, json};
 use tansyjunction_duties::*;
 
-use super::member::Member;
+use super::member::ConsensusThread;
 use crate::run::clock::boottime;
 
-impl Member {
-    /// Seats, documents, who attends, and who holds which duty.
+impl ConsensusThread {
+    /// Members, documents, attending gateways, and holders of duties.
     pub(super) fn status(&self) -> Json {
         let (now, register, stands) = (boottime(), self.register(), self.council.status());
         let documents = register.documents.iter().map(|(name, document)| {
@@ -47,7 +47,7 @@
         let held = self.holder.duties(now).map(|(duty, epoch, until)| {
             json!({ "duty": duty, "epoch": epoch, "for_ms": until.saturating_sub(now) / 1_000 })
         });
-        let scouted = self.facts().scouted.clone().into_iter().map(|(group, done)| {
+        let scouted = self.facts().probing.clone().into_iter().map(|(group, done)| {
             let scout = register.duties.get(&probing_duty_of(&group)).and_then(|duty| duty.holder_name());
             json!({ "group": group, "scout": scout, "probes": done.probes, "spared": done.spared })
         });
@@ -58,7 +58,7 @@
             "log": { "first": stands.log.0, "last": stands.log.1, "bytes": stands.log.2 },
             "whole": register.is_complete() && register.index > 0,
             "attends_for_ms": self.holder.attends_until().saturating_sub(now) / 1_000,
-            "fault": self.broken.as_ref().map(|fault| format!("{fault}; {}", fault.remedy())),
+            "fault": self.failure.as_ref().map(|fault| format!("{fault}; {}", fault.remedy())),
             "refused": self.refused, "slowest_ms": self.slowest / 1_000,
             "documents": documents.collect::<Vec<_>>(), "attending": attending.collect::<Vec<_>>(),
             "duties": duties.collect::<Vec<_>>(), "plans": plans.collect::<Vec<_>>(),
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,5 +1,5 @@
-//! The middle of the gateway: what is read becomes calls on the router, and its answers become messages. Nothing is
-//! decided here. All state hangs on [`Gateway`], which the loop hands to every callback.
+//! Core of the gateway: turns input into calls of the router, and its answers into messages. Makes no decisions. All
+//! state belongs to [`Gateway`], which the event loop passes to every callback.
 
 mod clients;
 mod commands;
@@ -23,22 +23,22 @@
 use tansyjunction_hosting::{NameNumbers, PendingCommands, TimerQueue};
 use tansyjunction_settings::Program;
 
-use self::company::Company;
+use self::company::Membership;
 use self::control::Controls;
-use self::council::Agreeing;
+use self::council::Consensus;
 use self::discovery::Watch;
-use self::due::LIST_COMES;
-use self::holds::Holds;
-use self::scout::Scouting;
+use self::due::FIRST_LIST_WAIT;
+use self::holds::WriteHolding;
+use self::scout::SharedProbing;
 use crate::memory::clients::Clients;
 use crate::memory::servers::Servers;
 use crate::memory::sessions::Sessions;
-use crate::memory::turns::Turns;
+use crate::memory::turns::RoundRobin;
 use crate::run::clock::Clock;
 use crate::run::deployment::Deployment;
 use crate::run::listener::Listener;
 
-/// What falls due beside commands.
+/// Timers other than those of commands.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     Client(u64),
@@ -50,6 +50,7 @@
     Listener,
 }
 
+/// State of the gateway.
 pub struct Gateway {
     handle: LoopHandle<'static, Gateway>,
     pub clock: Clock,
@@ -63,38 +64,39 @@
     servers: Servers,
     watch: Watch,
     listener: Option<Listener>,
-    /// Each step of each command is logged, and what members lacked for the one asked about last.
-    steps: bool,
+    /// Whether each step of each command is logged, and the diagnosis of the members for the last command placed.
+    log_steps: bool,
     lacking: Vec<MemberDiagnosis>,
     due: TimerQueue<Due>,
-    /// Clients whose next message may be taken.
-    resume: Turns,
-    /// When the router is to be asked what is due.
+    /// Clients whose next message may be handled.
+    turns: RoundRobin,
+    /// When the router's periodic check is due.
     router_due: Micros,
-    /// What is held while a primary is replaced; None: nothing is.
-    holds: Option<Holds>,
-    /// The other gateways; None: they are not minded.
-    company: Option<Company>,
-    /// What all gateways agree on; None: nothing is.
-    agreeing: Option<Agreeing>,
-    /// Which probes another gateway sends for all; None: each sends its own.
-    scouting: Option<Scouting>,
+    /// Holding of writes during a change of primary; `None` if disabled.
+    handover: Option<WriteHolding>,
+    /// Membership of the gateways; `None` if disabled.
+    membership: Option<Membership>,
+    /// Consensus among the gateways; `None` if disabled.
+    consensus: Option<Consensus>,
+    /// Probes sent by one gateway for all; `None`: each sends its own.
+    probing: Option<SharedProbing>,
     controls: Controls,
-    /// Numbers for connections and commands; none is used twice.
-    last: u64,
-    /// A list has come: empty queries are answered.
+    /// Last number assigned to a connection or command; none is reused.
+    last_number: u64,
+    /// A server list was received: empty queries are answered.
     ready: bool,
-    /// Commands are taken, be it without a list.
-    takes: bool,
-    /// Until when all that is taken must be answered, once SIGTERM has come.
-    stops: Option<Micros>,
-    /// The listen queue was left as it was for want of a descriptor.
-    queue_waits: bool,
-    /// The same because the others have their turn.
-    queue_more: bool,
+    /// Commands are accepted, possibly without a list.
+    accepts_commands: bool,
+    /// After SIGTERM: when all accepted commands must be answered.
+    stop_deadline: Option<Micros>,
+    /// The listen queue was left unserved for lack of a descriptor.
+    accept_blocked: bool,
+    /// The listen queue was left unserved so that others get their turn.
+    accept_more: bool,
 }
 
 impl Gateway {
+    /// Creates the gateway; it does not listen yet.
     pub fn new(
         handle: LoopHandle<'static, Gateway>,
         mut deployment: Deployment,
@@ -113,46 +115,46 @@
             servers: Servers::default(),
             watch: Watch::default(),
             listener: Some(listener),
-            steps: steps::wanted(),
+            log_steps: steps::is_enabled(),
             lacking: Vec::new(),
             due: TimerQueue::default(),
-            resume: Turns::default(),
+            turns: RoundRobin::default(),
             router_due: 0,
-            holds: Holds::new(&deployment, program),
-            company: None,
-            agreeing: None,
-            scouting: None,
+            handover: WriteHolding::new(&deployment, program),
+            membership: None,
+            consensus: None,
+            probing: None,
             controls: Controls::default(),
-            last: 0,
+            last_number: 0,
             ready: false,
-            takes: false,
-            stops: None,
-            queue_waits: false,
-            queue_more: false,
+            accepts_commands: false,
+            stop_deadline: None,
+            accept_blocked: false,
+            accept_more: false,
             deployment,
         };
-        gateway.due.add(gateway.clock.now() + LIST_COMES, Due::Known);
+        gateway.due.add(gateway.clock.now() + FIRST_LIST_WAIT, Due::Known);
         gateway.ask_discovery();
         gateway
     }
 
     fn number(&mut self) -> u64 {
-        self.last += 1;
-        self.last
+        self.last_number += 1;
+        self.last_number
     }
 
-    /// Starts to open a connection, for which another one makes way if it has to.
+    /// Starts to open a connection, closing an idle one first if necessary.
     fn connect(&mut self, address: SocketAddr) -> std::io::Result<TcpStream> {
         let opened = connect(address);
-        if !opened.as_ref().is_err_and(is_no_descriptor) {
+        if !opened.as_ref().is_err_and(is_out_of_descriptors) {
             return opened;
         }
-        self.found_fewer();
-        self.room_for_one(false);
+        self.lower_descriptor_limit();
+        self.has_free_descriptor(false);
         connect(address)
     }
 
-    /// Has the loop call back when something happens on a socket, until its token is removed.
+    /// Registers a socket with the event loop until its token is removed.
     fn watch(
         &self,
         stream: TcpStream,
@@ -169,13 +171,12 @@
     }
 }
 
-/// Whether a connection could not be had since this process holds as many descriptors as the machine grants
-/// it.
-fn is_no_descriptor(error: &std::io::Error) -> bool {
+/// Whether a connection failed because the process has reached its limit of descriptors.
+fn is_out_of_descriptors(error: &std::io::Error) -> bool {
     error.raw_os_error() == Some(TOO_MANY_OPEN)
 }
 
-/// Starts to open a connection; it is writable once it is there.
+/// Starts to open a connection; it is writable once it is established.
 fn connect(address: SocketAddr) -> std::io::Result<TcpStream> {
     use socket2::{Domain, Protocol, Socket, Type};
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
--- a/crates/gateway/src/gateway/clients.rs
+++ b/crates/gateway/src/gateway/clients.rs
@@ -1,62 +1,63 @@
-//! The clients' connections: taken, read in turn, minded and given up. Nothing is decided here.
+//! Client connections: accepted, read in turn, timed out and closed. Makes no decisions.
 
 use calloop::Readiness;
 use tansyjunction::interface::*;
 use tansyjunction_hosting::micros_from_millis;
 use tracing::warn;
 
-use super::{Due, Gateway, is_no_descriptor};
+use super::{Due, Gateway, is_out_of_descriptors};
 use crate::wire::client::{Client, InHand, Next};
 use crate::wire::frames;
 use crate::wire::server::Phase;
-use crate::wire::statement::Head;
+use crate::wire::statement::CommandHead;
 
-/// Descriptors kept for what is neither a client's nor a server's: the log, the loop, the listener, signals, peers,
-/// discovery, and a few that the machine may still be closing.
-const RESERVE: usize = 40;
-/// What is kept of them where the machine grants fewer than the configuration does, and all are taken.
-const SPARE: usize = 8;
-/// A client that had no command in hand for so long holds its connection for later, if at all.
-const CLIENT_RESTS: Micros = 2_000_000;
-/// A client that has not finished its startup after so long is hardly about to.
-const CLIENT_OPENS: Micros = 500_000;
-/// Clients hold at most a third of the descriptors for their commands. Beyond this part, those that rest make way for
-/// new ones, all but what rests for a moment between two commands.
-const CLIENTS_PART: usize = 4;
-const CLIENT_PAUSES: Micros = 100_000;
-/// How long any connection may linger where the whole process is to end.
-const LINGER_LEAST: Micros = 50_000;
-/// So long after all must be answered, a client that still sends is heard no more.
-const ENDS_AFTER: Micros = 100_000;
-/// Messages of one client, and new clients, that are taken before the others have their turn.
-const TURN: usize = 8;
-const TURN_NEW: usize = 64;
-/// What inboxes may hold together before clients' bytes sent ahead wait in their sockets, as a part of the memory.
-const AHEAD_PART: usize = 16;
-/// What inboxes may hold together, as a part of the memory, and from which size on a client is refused for it.
-const INBOX_PART: usize = 4;
-const INBOX_LARGE: usize = 16 * 1_024;
+/// Descriptors reserved for other uses: log, event loop, listener, signals, peers, discovery, and a few that the system
+/// may still be closing.
+const RESERVED_DESCRIPTORS: usize = 40;
+/// Descriptors kept free of them where the system grants fewer than configured and all are in use.
+const SPARE_DESCRIPTORS: usize = 8;
+/// A client without a command for this long may be disconnected.
+const CLIENT_IDLE_AFTER: Micros = 2_000_000;
+/// A client that has not finished its startup within this time may be disconnected.
+const CLIENT_STARTUP_GRACE: Micros = 500_000;
+/// Clients may use a third of the descriptors while they have commands. Above this fraction, idle clients are closed
+/// for new ones, except those that pause briefly between two commands.
+const CLIENT_SHARE_DIVISOR: usize = 4;
+const CLIENT_PAUSE: Micros = 100_000;
+/// Longest time that a closing connection may linger during shutdown.
+const SHUTDOWN_LINGER: Micros = 50_000;
+/// Time after the deadline of all answers at which clients that still send are closed.
+const FINAL_GRACE: Micros = 100_000;
+/// Most messages of one client, and most new clients, handled before others get their turn.
+const MESSAGES_PER_TURN: usize = 8;
+const ACCEPTS_PER_TURN: usize = 64;
+/// Fraction of the memory that inboxes may use before bytes sent ahead are left in the sockets.
+const AHEAD_MEMORY_DIVISOR: usize = 16;
+/// Fraction of the memory that inboxes may use, and inbox size from which a client is then rejected.
+const INBOX_MEMORY_DIVISOR: usize = 4;
+const LARGE_INBOX_BYTES: usize = 16 * 1_024;
 
 impl Gateway {
-    /// Takes what the listen queue holds.
+    /// Accepts the connections in the listen queue.
     pub fn accept(&mut self) {
         for turn in 0.. {
-            self.queue_more = turn == TURN_NEW;
-            let full = !self.room_for_one(true);
-            if full && !self.queue_waits {
-                warn!(target: "limits", "no descriptor left for another client");
+            self.accept_more = turn == ACCEPTS_PER_TURN;
+            let full = !self.has_free_descriptor(true);
+            if full && !self.accept_blocked {
+                warn!(target: "limits", "no file descriptor left for a new client");
             }
-            self.queue_waits = full;
-            if self.queue_waits || self.queue_more {
+            self.accept_blocked = full;
+            if self.accept_blocked || self.accept_more {
                 return;
             }
             let stream = match self.listener.as_ref().map(|listener| listener.next()) {
                 Some(Ok(Some(stream))) => stream,
                 Some(Err(error)) => {
                     warn!(target: "limits", "accept: {error}");
-                    // The next turn goes on where others make way then; else whichever finds room.
-                    self.queue_more = is_no_descriptor(&error) && self.found_fewer();
-                    self.queue_waits = !self.queue_more;
+                    // Continues in the next iteration if idle connections can be closed; else when a descriptor
+                    // becomes free.
+                    self.accept_more = is_out_of_descriptors(&error) && self.lower_descriptor_limit();
+                    self.accept_blocked = !self.accept_more;
                     return;
                 }
                 _ => return,
@@ -65,45 +66,48 @@
             match self.watch(stream, move |gateway, readiness| gateway.client_ready(key, readiness)) {
                 Ok((stream, token)) => {
                     self.clients.add(key, Client::new(stream, token, self.clock.now()));
-                    self.mind(key);
+                    self.update_client_timeout(key);
                 }
                 Err(error) => warn!(target: "clients", "a client's connection: {error}"),
             }
         }
     }
 
-    /// The machine grants fewer descriptors than the configuration does: from now on some stay free. Guards
-    /// against clients that fill them, and leave none to discovery and to servers. False: it is so already.
-    pub(super) fn found_fewer(&mut self) -> bool {
-        let most = (self.clients.count() + self.servers.count()).saturating_sub(SPARE).max(1);
-        let fewer = most + RESERVE < self.deployment.sockets;
+    /// The system grants fewer descriptors than configured: lowers the limit so that some stay free, else clients
+    /// would leave none to discovery and servers. False if it is lowered already.
+    pub(super) fn lower_descriptor_limit(&mut self) -> bool {
+        let most = (self.clients.count() + self.servers.count()).saturating_sub(SPARE_DESCRIPTORS).max(1);
+        let fewer = most + RESERVED_DESCRIPTORS < self.deployment.sockets;
         if fewer {
-            warn!(target: "limits", "fewer descriptors than 'limits.sockets': {most} connections from now on");
-            self.deployment.sockets = most + RESERVE;
+            warn!(target: "limits", "fewer file descriptors than 'limits.sockets': limited to {most} connections");
+            self.deployment.sockets = most + RESERVED_DESCRIPTORS;
         }
         fewer
     }
 
-    /// Whether one more descriptor may be held, after an idle connection made way if it has to. Clients that rest come
-    /// first: some keep what they will never use again, while a server's connection is dear to open. Guards against
-    /// clients without end that leave none to the servers, whose share is half.
-    pub(super) fn room_for_one(&mut self, for_client: bool) -> bool {
-        let most = self.deployment.sockets - RESERVE;
+    /// Whether another descriptor may be used, after closing an idle connection if necessary. Idle clients are closed
+    /// first: some are never used again, while a server connection is expensive to open. Clients leave half to the
+    /// servers.
+    pub(super) fn has_free_descriptor(&mut self, for_client: bool) -> bool {
+        let most = self.deployment.sockets - RESERVED_DESCRIPTORS;
         while self.clients.count() + self.servers.count() >= most {
             let now = self.clock.now();
-            let line = self.servers.idlest().filter(|_| !for_client || self.servers.count() > most / 2);
-            let ended = self.clients.longest_closing(now - LINGER_LEAST);
-            let silent = ended.or_else(|| self.clients.most_silent(now - CLIENT_OPENS));
-            // Guards against one client that makes way for the next before what it sent was looked at.
-            let came = if for_client { now - CLIENT_PAUSES } else { now };
-            if let Some(key) = silent.or_else(|| self.clients.idlest(now - CLIENT_RESTS)) {
-                self.make_way(key);
+            let line =
+                self.servers.least_recently_used().filter(|_| !for_client || self.servers.count() > most / 2);
+            let ended = self.clients.longest_closing(now - SHUTDOWN_LINGER);
+            let silent = ended.or_else(|| self.clients.oldest_without_startup(now - CLIENT_STARTUP_GRACE));
+            // A client must not be closed for the next one before its first bytes were read.
+            let came = if for_client { now - CLIENT_PAUSE } else { now };
+            if let Some(key) = silent.or_else(|| self.clients.least_recently_used(now - CLIENT_IDLE_AFTER)) {
+                self.close_idle(key);
             } else if let Some(key) = line {
-                self.close_line(key);
-            } else if let Some(key) = self.clients.idlest(now).or_else(|| self.clients.most_silent(came)) {
-                self.make_way(key);
+                self.close_connection(key);
+            } else if let Some(key) =
+                self.clients.least_recently_used(now).or_else(|| self.clients.oldest_without_startup(came))
+            {
+                self.close_idle(key);
             } else if let Some(key) = self.clients.longest_closing(now) {
-                self.make_way(key);
+                self.close_idle(key);
             } else {
                 return false;
             }
@@ -111,108 +115,106 @@
         true
     }
 
-    /// Gives up a connection without a command for its descriptor, which is needed at once, unless something has
-    /// come. Guards against a command that lies unread on a connection that is closed, and against the reset that a
-    /// close over unread bytes brings, which would overtake the last answer.
-    fn make_way(&mut self, key: u64) {
+    /// Closes an idle connection to free its descriptor, unless data has arrived: a command would be lost unread, and
+    /// closing over unread bytes sends a reset that may overtake the last answer.
+    fn close_idle(&mut self, key: u64) {
         let now = self.clock.now();
         let Some(client) = self.clients.get(key) else { return };
         let stays = client.read(now);
-        if stays && !client.is_closing() && !client.is_idle() && !client.is_silent() {
-            self.resume.push_back(key);
+        if stays && !client.is_closing() && !client.is_idle() && !client.lacks_startup() {
+            self.turns.push_back(key);
             return;
         }
         if stays && !client.is_closing() {
-            client.close_gently();
+            client.shut_down();
         }
         client.read(now);
         self.close_client(key);
     }
 
-    /// Closes clients that rest while many others are open. Guards against clients that ask once, keep the connection
-    /// for good and so use up what clients may hold together: those that have something to ask find none.
-    pub(super) fn part_with_resting(&mut self) {
-        let most = self.deployment.sockets / CLIENTS_PART;
-        while self.clients.open() > most
-            && let Some(key) = self.clients.idlest(self.clock.now() - CLIENT_PAUSES)
+    /// Closes idle clients while many are open. Clients that ask once and keep the connection would otherwise use up
+    /// the clients' share of descriptors.
+    pub(super) fn close_idle_clients(&mut self) {
+        let most = self.deployment.sockets / CLIENT_SHARE_DIVISOR;
+        while self.clients.open_count() > most
+            && let Some(key) = self.clients.least_recently_used(self.clock.now() - CLIENT_PAUSE)
         {
-            self.part_with(key);
-            self.mind(key);
+            self.close_for_shutdown(key);
+            self.update_client_timeout(key);
         }
     }
 
     pub(super) fn client_ready(&mut self, key: u64, readiness: Readiness) {
         let Some(client) = self.clients.get(key) else { return };
-        if !client.flush() || readiness.readable && !self.stays(key) {
+        if !client.flush() || readiness.readable && !self.client_is_connected(key) {
             self.close_client(key);
             return;
         }
         let Some(client) = self.clients.get(key) else { return };
-        // Guards against many clients with long messages at once, which would fill the memory.
+        // Many clients with long messages at once would fill the memory.
         if client.in_hand.is_none()
-            && client.inbox.kept() > INBOX_LARGE
-            && self.clients.kept() > self.deployment.memory / INBOX_PART
+            && client.inbox.memory() > LARGE_INBOX_BYTES
+            && self.clients.inbox_bytes() > self.deployment.memory / INBOX_MEMORY_DIVISOR
             && let Some(client) = self.clients.get(key)
         {
             warn!(target: "limits", "no memory left for a client's message");
             client.refuse("53200", "no memory left for the message");
         }
-        self.resume.push_back(key);
+        self.turns.push_back(key);
     }
 
-    /// Reads what is there; false: the client has gone, be it behind what is left unread.
-    fn stays(&mut self, key: u64) -> bool {
+    /// Reads what has arrived; false if the client has gone, even behind unread data.
+    fn client_is_connected(&mut self, key: u64) -> bool {
         let now = self.clock.now();
         let Some(client) = self.clients.get(key) else { return false };
         if !client.read(now) {
             return false;
         }
-        if !client.leaves_unread() {
+        if !client.has_unread() {
             return true;
         }
-        let room = self.clients.kept() < self.deployment.memory / AHEAD_PART;
-        self.clients.get(key).is_some_and(|client| client.looks_ahead(now, room))
+        let room = self.clients.inbox_bytes() < self.deployment.memory / AHEAD_MEMORY_DIVISOR;
+        self.clients.get(key).is_some_and(|client| client.check_for_end(now, room))
     }
 
-    /// Whether the client of a command is there at this moment; one that has gone is given up. Guards against an
-    /// attempt for a client that left unnoticed: the process may have stood still, or been busy with others.
-    pub(super) fn still_waits(&mut self, command: u64) -> bool {
+    /// Whether the client of a command is still connected; closes it if not. The process may have been paused or
+    /// busy, and no attempt may be made for a client that left meanwhile.
+    pub(super) fn command_is_awaited(&mut self, command: u64) -> bool {
         let Some(key) = self.clients.client_of(command) else { return false };
-        let stays = self.stays(key);
+        let stays = self.client_is_connected(key);
         if !stays {
             self.close_client(key);
         }
         stays
     }
 
-    /// Calls off a dispatch that is not written whole, for a command that is over: it has not run. Guards against a
-    /// statement whose rest is written, and so is run, for a client that has gone.
-    pub(super) fn call_off_unwritten(&mut self, key: u64) {
+    /// Cancels a dispatch of a finished command that is not completely written, so it has not executed. Otherwise the
+    /// rest would be written, and executed, for a client that has gone.
+    pub(super) fn cancel_unwritten(&mut self, key: u64) {
         let Some(line) = self.servers.get(key) else { return };
         if line.job.is_none() || line.written.is_some() {
             return;
         }
-        if line.talk.phase == Phase::Ready {
+        if line.protocol.phase == Phase::Ready {
             self.finish_job(key, DispatchEnd::Unsent);
-            self.rest_line(key);
+            self.set_idle(key);
         } else {
-            self.end_line(key, DispatchEnd::Unsent);
+            self.end_connection(key, DispatchEnd::Unsent);
         }
     }
 
-    /// Takes a client's next messages until one is in hand. Guards against a client that sends without end and keeps
-    /// the others waiting.
+    /// Handles a client's messages until a command is in progress, within a limit so that other clients get their turn.
     pub(super) fn serve_client(&mut self, key: u64) {
-        let (now, takes, ready) = (self.clock.now(), self.takes, self.ready);
-        let over = self.stops.is_some_and(|stops| stops + ENDS_AFTER < now);
+        let (now, takes, ready) = (self.clock.now(), self.accepts_commands, self.ready);
+        let over = self.stop_deadline.is_some_and(|stops| stops + FINAL_GRACE < now);
         for turn in 0.. {
             let Some(client) = self.clients.get(key) else { break };
-            // Guards against a client that sends without end and keeps a process that is to end.
+            // A client that keeps sending must not delay the shutdown.
             if over && client.in_hand.is_none() && !client.is_closing() {
-                client.close_gently();
+                client.shut_down();
             }
-            if turn == TURN {
-                self.resume.push_back(key);
+            if turn == MESSAGES_PER_TURN {
+                self.turns.push_back(key);
                 break;
             }
             match client.next(now, takes, ready) {
@@ -227,24 +229,24 @@
             }
         }
         if self.listener.is_none() {
-            self.part_with(key);
+            self.close_for_shutdown(key);
         }
-        self.mind(key);
+        self.update_client_timeout(key);
     }
 
-    /// Keeps the time by which a client must have ended what it is in the middle of.
-    pub(super) fn mind(&mut self, key: u64) {
+    /// Updates the timeout of what the client is in the middle of.
+    pub(super) fn update_client_timeout(&mut self, key: u64) {
         let now = self.clock.now();
         let Some(client) = self.clients.get(key) else { return };
         if client.is_closing() {
-            self.clients.closes(key, now);
+            self.clients.mark_closing(key, now);
         }
         let Some(client) = self.clients.get(key) else { return };
-        let most = match (&self.listener, self.stops) {
-            (None, Some(stops)) => stops.max(now + LINGER_LEAST),
+        let most = match (&self.listener, self.stop_deadline) {
+            (None, Some(stops)) => stops.max(now + SHUTDOWN_LINGER),
             _ => Micros::MAX,
         };
-        match client.mind() {
+        match client.changed_timeout() {
             Some(Some(within)) => client.limit.set(&mut self.due, Due::Client(key), most.min(now + within)),
             Some(None) => client.limit.clear(),
             None => {}
@@ -254,9 +256,9 @@
     pub(super) fn take_command(&mut self, key: u64, length: usize) {
         let now = self.clock.now();
         let command = self.number();
-        let Some(client) = self.clients.see(key) else { return };
-        let came = client.came(length).unwrap_or(now);
-        let read = Head::read(&client.inbox.rest()[..length]).and_then(|head| {
+        let Some(client) = self.clients.peek(key) else { return };
+        let came = client.arrived_at(length).unwrap_or(now);
+        let read = CommandHead::read(&client.inbox.rest()[..length]).and_then(|head| {
             let mut known = self.deployment.command_groups.iter();
             let place = known.position(|group| group.name == head.command_group);
             let place = place.ok_or("'c' is not in the settings")?;
@@ -267,7 +269,7 @@
             if head.writes && !group.writes {
                 return Err("'c' is of commands that write nothing".into());
             }
-            if self.clients.has(head.id) {
+            if self.clients.has_command_id(head.id) {
                 return Err("'id' is that of a command in hand".into());
             }
             Ok((place, head))
@@ -284,55 +286,55 @@
                 return;
             }
         };
-        let client_timeout = (came + micros_from_millis(head.wait)).min(self.stops.unwrap_or(Micros::MAX));
+        let client_timeout =
+            (came + micros_from_millis(head.wait)).min(self.stop_deadline.unwrap_or(Micros::MAX));
         let until = client_timeout.min(now + self.deployment.longest_wait);
         let session = self.deployment.command_groups[command_group].session;
-        let session = session.then(|| self.sessions.of(head.key, now, until));
+        let session = session.then(|| self.sessions.number_of(head.key, now, until));
         let taken = Command {
             command_group,
-            // A group that no list has named has no members; its number must not be kept for whoever asks.
+            // A group that is in no list has no members; no number is assigned to it.
             group: self.groups.find(head.group).unwrap_or(usize::MAX),
             session,
             arrived: now,
             client_timeout,
-            // A commit of this very moment still counts as one.
+            // A commit at this very moment counts too.
             last_write_age: head.after.map(|after| now.saturating_sub(micros_from_millis(after)).max(1)),
-            // Clients here do not say.
+            // Clients do not name customers in this protocol.
             customer: None,
         };
         let in_hand = InHand { command, id: head.id.into(), length, wait_at: head.wait_at };
-        self.clients.waits(key, in_hand);
+        self.clients.set_pending(key, in_hand);
         self.commands.add(command, taken);
         self.step_taken(command);
-        // Guards against a first question that is not asked at the arrival: the router tells new commands by that.
-        self.ask_at(now, command);
+        // The router recognises new commands by being asked at their arrival time.
+        self.place_at(now, command);
     }
 
-    /// Once the listener is closed, a connection without a command in hand is closed too; what is on its way in gets
-    /// a moment more.
-    pub(super) fn part_with(&mut self, key: u64) {
+    /// After the listener is closed, closes a connection without a command in progress; data in transit gets a little
+    /// time.
+    pub(super) fn close_for_shutdown(&mut self, key: u64) {
         let now = self.clock.now();
         let Some(client) = self.clients.get(key).filter(|client| !client.is_closing()) else { return };
-        // Guards against a client that asks whether this process serves, which waits for a list, and keeps it
-        // for good.
-        if client.is_kept() && !self.ready {
+        // A client that waits for a server list with an empty query must not keep its connection open.
+        if client.has_waiting_message() && !self.ready {
             client.refuse("57P03", "this gateway ends");
             return;
         }
         if !client.is_idle() {
             return;
         }
-        // Guards against a command that lies unread on a connection that is ended: it came in time to be taken.
+        // A command that lies unread on the connection arrived in time and must be accepted.
         if !client.read(now) {
             self.close_client(key);
         } else if client.is_idle() {
-            client.close_gently();
+            client.shut_down();
         } else {
-            self.resume.push_back(key);
+            self.turns.push_back(key);
         }
     }
 
-    /// A client's connection has ended or is of no more use; the one place that gives it up.
+    /// Closes a client connection; the only place that does.
     pub(super) fn close_client(&mut self, key: u64) {
         let Some((client, command)) = self.clients.remove(key) else { return };
         self.handle.remove(client.token);
@@ -340,11 +342,11 @@
             let dispatches = self.commands.dispatch_count(command).unwrap_or(0);
             self.step_left(command);
             self.commands.on_client_gone(&mut self.router, self.clock.now(), command);
-            self.no_longer_held(command);
-            // What is written whole may have run and ends by itself.
+            self.handover_forget(command);
+            // Completely written dispatches may have executed and end by themselves.
             for dispatch in 0..dispatches {
-                if let Some(line) = self.servers.out(command, dispatch) {
-                    self.call_off_unwritten(line);
+                if let Some(line) = self.servers.connection_of(command, dispatch) {
+                    self.cancel_unwritten(line);
                 }
             }
         }
--- a/crates/gateway/src/gateway/commands.rs
+++ b/crates/gateway/src/gateway/commands.rs
@@ -1,44 +1,44 @@
-//! Commands in hand: the router is asked about each, and its answers become dispatches and final answers.
+//! Pending commands: asks the router about each, and turns its answers into dispatches and final answers.
 
 use tansyjunction::interface::*;
 
 use super::Gateway;
 use crate::wire::client::Next;
 use crate::wire::frames;
-use crate::wire::server::{Job, Said};
+use crate::wire::server::{Job, ServerAnswer};
 
 impl Gateway {
-    /// Asks the router where to send a command now, and does as it says.
-    pub(super) fn ask(&mut self, command: u64) {
-        self.ask_at(self.clock.now(), command);
+    /// Asks the router to place a command now, and executes its answer.
+    pub(super) fn place(&mut self, command: u64) {
+        self.place_at(self.clock.now(), command);
     }
 
-    pub(super) fn ask_at(&mut self, now: Micros, command: u64) {
-        if self.admitted(now, command) {
-            self.ask_router(now, command);
+    pub(super) fn place_at(&mut self, now: Micros, command: u64) {
+        if self.handover_admits(now, command) {
+            self.place_with_router(now, command);
         }
     }
 
-    pub(super) fn ask_router(&mut self, now: Micros, command: u64) {
+    pub(super) fn place_with_router(&mut self, now: Micros, command: u64) {
         self.router_due = now;
         self.step_asked(now, command);
         let Some((place, recall)) = self.commands.place(&mut self.router, now, command) else { return };
         self.step_placed(command, &place);
         let dispatch = self.commands.dispatch_count(command).unwrap_or(0).saturating_sub(1);
         for dispatch in recall {
-            self.recall(command, dispatch);
+            self.cancel_dispatch(command, dispatch);
         }
         match place {
-            Placement::Dispatch { server, .. } if !self.may_go(command, server) => {
-                // To the router it is as a server that says it follows.
+            Placement::Dispatch { server, .. } if !self.handover_allows(command, server) => {
+                // For the router this is like a server that says it is not the primary.
                 let stated = Report { primary: Some(false), ..Report::default() };
-                let said = Said { stated, ..Said::default() };
+                let said = ServerAnswer { stated, ..ServerAnswer::default() };
                 self.dispatch_ended(command, dispatch, DispatchEnd::Unsent, said);
             }
             Placement::Dispatch { server, timeout } => {
                 let job = Job::Command { command, dispatch };
-                if let Err(ending) = self.begin(server, job, now, now + timeout) {
-                    self.dispatch_ended(command, dispatch, ending, Said::default());
+                if let Err(ending) = self.start_job(server, job, now, now + timeout) {
+                    self.dispatch_ended(command, dispatch, ending, ServerAnswer::default());
                 }
             }
             Placement::Hold => {}
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Gives the client a final answer other than a server's.
+    /// Sends the client a final answer that does not come from a server.
     pub(super) fn answer_finally(&mut self, command: u64, last: FinalAnswer) {
         let error = match last {
             FinalAnswer::Throttled { retry_after: come_back } => {
@@ -65,36 +65,42 @@
         self.step_given_up(command, last);
         let Some(client) = self.clients.waiting_for(command) else { return };
         let written = client.answer(&[&error, frames::READY]);
-        self.answered(command, written);
+        self.on_answered(command, written);
     }
 
-    /// The client that waits for a command has its final answer.
-    pub(super) fn answered(&mut self, command: u64, written: Next) {
+    /// Records that the client has its final answer.
+    pub(super) fn on_answered(&mut self, command: u64, written: Next) {
         let now = self.clock.now();
         self.step_over(now, command);
-        self.no_longer_held(command);
-        let Some(key) = self.clients.answering(command, now) else { return };
+        self.handover_forget(command);
+        let Some(key) = self.clients.take_pending(command, now) else { return };
         if let Next::Close = written {
             self.close_client(key);
         } else {
-            // Guards against clients that send on at once, and so keep their connections up to the last moment, in
-            // which what they sent can't be answered any more: the end goes out right behind the answer. What crosses
-            // it was not read, and is sent again elsewhere.
+            // Clients that keep sending would keep their connections until the last moment, when commands can no
+            // longer be answered. So the end is sent right after the answer; a command that crosses it is not read,
+            // and the client sends it elsewhere.
             if self.listener.is_none()
                 && let Some(client) = self.clients.get(key).filter(|client| client.is_idle())
             {
-                client.close_gently();
+                client.shut_down();
             }
-            self.resume.push_back(key);
+            self.turns.push_back(key);
         }
     }
 
-    pub(super) fn dispatch_ended(&mut self, command: u64, dispatch: usize, ending: DispatchEnd, said: Said) {
+    pub(super) fn dispatch_ended(
+        &mut self,
+        command: u64,
+        dispatch: usize,
+        ending: DispatchEnd,
+        said: ServerAnswer,
+    ) {
         let now = self.clock.now();
         let Some(sent) = self.commands.sent_at(command, dispatch) else { return };
-        self.heard_of_role(now, command, dispatch, ending, &said);
+        self.observe_role(now, command, dispatch, ending, &said);
         self.step_ended(now, command, dispatch, ending);
-        self.saw_outcome(now, command, dispatch, ending, &said);
+        self.observe_outcome(now, command, dispatch, ending, &said);
         let outcome = Outcome {
             dispatch,
             ending,
@@ -104,20 +110,20 @@
             load_report: said.report,
         };
         match self.commands.on_dispatch_ended(&mut self.router, now, command, outcome) {
-            Some(NextStep::PlaceAgain) => self.ask(command),
+            Some(NextStep::PlaceAgain) => self.place(command),
             Some(NextStep::Finished { cancel: recall }) => {
                 for dispatch in recall {
-                    self.recall(command, dispatch);
+                    self.cancel_dispatch(command, dispatch);
                 }
             }
             None => {}
         }
     }
 
-    /// Calls a dispatch off: its connection is closed.
-    pub(super) fn recall(&mut self, command: u64, dispatch: usize) {
-        if let Some(key) = self.servers.out(command, dispatch) {
-            self.end_line(key, DispatchEnd::Recalled);
+    /// Cancels a dispatch by closing its connection.
+    pub(super) fn cancel_dispatch(&mut self, command: u64, dispatch: usize) {
+        if let Some(key) = self.servers.connection_of(command, dispatch) {
+            self.end_connection(key, DispatchEnd::Recalled);
         }
     }
 }
--- a/crates/gateway/src/gateway/company.rs
+++ b/crates/gateway/src/gateway/company.rs
@@ -1,5 +1,5 @@
-//! Where this gateway meets the others: datagrams go to and from the fellows, what was seen of servers becomes
-//! evidence, and what others saw becomes hearsay for the router. Nothing is decided here.
+//! Membership of the gateways: exchanges datagrams, turns observations of servers into evidence, and others' evidence
+//! into observations for the router. Makes no decisions.
 
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
@@ -21,40 +21,40 @@
 
 use super::Gateway;
 use crate::run::clock::monotonic;
-use crate::wire::server::Said;
+use crate::wire::server::ServerAnswer;
 
-/// Between two rounds of hearsay for the router: a few rounds of evidence.
-const ADVISE_EVERY: Micros = 500_000;
-/// Datagrams that are read before the others have their turn.
-const TURN: usize = 256;
-/// Longest datagram of any kind.
-const DATAGRAM: usize = 65_536;
+/// Interval of passing others' observations to the router: a few gossip rounds.
+const OBSERVATION_INTERVAL: Micros = 500_000;
+/// Most datagrams read before others get their turn.
+const DATAGRAMS_PER_TURN: usize = 256;
+/// Largest datagram.
+const MAX_DATAGRAM_BYTES: usize = 65_536;
 
 /// The other gateways.
-pub struct Company {
+pub struct Membership {
     fellows: Fellows,
     socket: Rc<UdpSocket>,
     key_file: PathBuf,
     advise: bool,
     advise_due: Micros,
-    /// Servers' groups, as the list tells.
+    /// Group of each server in the list.
     groups: BTreeMap<usize, usize>,
     regions: Vec<String>,
 }
 
-impl Company {
+impl Membership {
     pub fn next(&self) -> Micros {
         self.fellows.next().min(self.advise_due)
     }
 
-    /// What a gateway said last of whether a server can be reached, and how long ago it saw it.
-    pub(super) fn reach(&self, now: Micros, by: &str, server: &str) -> Option<(Fact, Micros)> {
+    /// A gateway's last observation of whether a server is reachable, and its age.
+    pub(super) fn last_observation(&self, now: Micros, by: &str, server: &str) -> Option<(Fact, Micros)> {
         let kept = self.fellows.evidence().get(by, server, Kind::Reach)?;
         Some((kept.fact, now.saturating_sub(kept.at)))
     }
 
-    /// Whether a gateway accuses most servers of which it tells.
-    pub(super) fn doubts(&self, gateway: &str) -> bool {
+    /// Whether a gateway reports most of its servers as unreachable.
+    pub(super) fn accuses_most(&self, gateway: &str) -> bool {
         opinion::doubtful(self.fellows.evidence()).contains(gateway)
     }
 
@@ -70,8 +70,8 @@
 }
 
 impl Gateway {
-    /// Joins the others as the settings say; leaves all as it is where they do not.
-    pub fn open_company(&mut self, told: &Told) -> Result<(), String> {
+    /// Joins the membership if the settings enable it.
+    pub fn open_membership(&mut self, told: &Told) -> Result<(), String> {
         let (true, Some(key_file)) = (told.enabled, &told.key_file) else { return Ok(()) };
         let listen = told.listen.or(self.deployment.peer_listen);
         let address = listen.ok_or("'fellows.listen' is missing, and so is 'peer_listen'")?;
@@ -81,13 +81,13 @@
         socket.set_nonblocking(true).map_err(said)?;
         let source = Generic::new(socket.clone(), Interest::READ, Mode::Level);
         let ready = |_, _: &mut _, gateway: &mut Gateway| {
-            gateway.company_ready();
+            gateway.membership_ready();
             Ok(PostAction::Continue)
         };
         self.handle.insert_source(source, ready).map_err(|error| format!("'fellows.listen': {error}"))?;
         let now = self.clock.now();
         let zone = self.deployment.zones.iter().position(|zone| *zone == self.deployment.zone);
-        // Where the settings name nobody, the configuration's list of peers serves, in which each goes by its number.
+        // If the settings name no gateways, the configuration's peers are used, where each is named by its index.
         let (mut name, mut peers) = (self.deployment.name.clone(), told.peers.clone());
         let mut routes: BTreeMap<String, SocketAddr> = told.routes.iter().cloned().collect();
         if peers.is_empty() && !self.deployment.peers.is_empty() {
@@ -123,49 +123,49 @@
         };
         let seed = self.deployment.seed ^ now;
         let fellows = Fellows::new(now, me, peers, keys, terms, seed);
-        info!(target: "fellows", %address, zone = self.deployment.zone, "among the gateways as {}", self.deployment.name);
-        self.company = Some(Company {
+        info!(target: "fellows", %address, zone = self.deployment.zone, "joined the membership as {}", self.deployment.name);
+        self.membership = Some(Membership {
             fellows,
             socket,
             key_file: key_file.clone(),
             advise: told.advise,
-            advise_due: now + ADVISE_EVERY,
+            advise_due: now + OBSERVATION_INTERVAL,
             groups: BTreeMap::new(),
             regions: told.regions.iter().map(|(name, _)| name.clone()).collect(),
         });
         Ok(())
     }
 
-    fn company_ready(&mut self) {
+    fn membership_ready(&mut self) {
         let now = self.clock.now();
-        let Some(company) = &mut self.company else { return };
-        let mut bytes = [0; DATAGRAM];
-        for _ in 0..TURN {
+        let Some(company) = &mut self.membership else { return };
+        let mut bytes = [0; MAX_DATAGRAM_BYTES];
+        for _ in 0..DATAGRAMS_PER_TURN {
             match company.socket.recv_from(&mut bytes) {
                 Ok((length, _)) => company.fellows.heard(now, &bytes[..length]),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
-                // A refused datagram of before: whoever it was for is gone, which membership finds out.
+                // An earlier datagram was refused: its receiver is gone, which the failure detector notices.
                 Err(_) => {}
             }
         }
-        self.send_company();
+        self.send_membership();
     }
 
-    /// Does what is due among the gateways.
-    pub(super) fn settle_company(&mut self) {
+    /// Runs the timers of the membership.
+    pub(super) fn run_membership(&mut self) {
         let now = self.clock.now();
-        let Some(company) = self.company.as_mut().filter(|company| company.next() <= now) else { return };
+        let Some(company) = self.membership.as_mut().filter(|company| company.next() <= now) else { return };
         if company.fellows.next() <= now {
             company.fellows.settle(now);
         }
-        self.send_company();
-        self.advise(now);
+        self.send_membership();
+        self.share_observations(now);
     }
 
-    fn send_company(&mut self) {
-        let Some(company) = &mut self.company else { return };
+    fn send_membership(&mut self) {
+        let Some(company) = &mut self.membership else { return };
         for (to, bytes) in company.fellows.take_out() {
-            // What the socket does not take is lost, as datagrams are.
+            // Datagrams that the socket does not accept are lost.
             let _ = company.socket.send_to(&bytes, to);
         }
         let score = company.fellows.members().health();
@@ -175,38 +175,40 @@
             match news {
                 News::Up(fellow) => {
                     let (fellow, zone, region, life) = where_is(&fellow);
-                    info!(target: "fellows", what = "up", mono, fellow, zone, region, life, "a gateway lives");
+                    info!(target: "fellows", what = "up", mono, fellow, zone, region, life, "a gateway is up");
                 }
                 News::Down(fellow) => {
                     let left = company.fellows.left(&fellow.name);
                     let (fellow, zone, region, life) = where_is(&fellow);
                     let dark = format!("{:?}", company.fellows.dark_zones());
                     let what = if left { "left" } else { "down" };
-                    warn!(target: "fellows", what, mono, fellow, zone, region, life, dark, score, "a gateway is gone");
+                    warn!(target: "fellows", what, mono, fellow, zone, region, life, dark, score, "a gateway is down or has left");
                 }
                 News::Renewed(life) => {
-                    info!(target: "fellows", what = "renewed", mono, life, "another life under the same name");
+                    info!(target: "fellows", what = "renewed", mono, life, "rejoined with a new incarnation number");
                 }
                 News::Paused(time) => {
-                    warn!(target: "fellows", what = "paused", mono, ms = time / 1_000, score, "this process stood still");
+                    warn!(target: "fellows", what = "paused", mono, ms = time / 1_000, score, "this process was paused");
                 }
                 News::Deaf => {
-                    warn!(target: "fellows", what = "deaf", mono, score, "no other gateway is heard")
+                    warn!(target: "fellows", what = "deaf", mono, score, "no other gateway is reachable")
                 }
                 News::Hears => {
-                    info!(target: "fellows", what = "hears", mono, score, "others are heard again")
+                    info!(target: "fellows", what = "hears", mono, score, "other gateways are reachable again")
                 }
                 News::Yields(address) => {
-                    error!(target: "fellows", what = "yields", mono, %address, "another gateway keeps this one's name");
+                    error!(target: "fellows", what = "yields", mono, %address, "another gateway uses the same name");
                 }
             }
         }
     }
 
-    /// Tells the router what others saw. Only a server of which others tell is spoken of.
-    fn advise(&mut self, now: Micros) {
-        let Some(company) = self.company.as_mut().filter(|company| company.advise_due <= now) else { return };
-        company.advise_due = now + ADVISE_EVERY;
+    /// Passes others' observations to the router, for servers of which there are any.
+    fn share_observations(&mut self, now: Micros) {
+        let Some(company) = self.membership.as_mut().filter(|company| company.advise_due <= now) else {
+            return;
+        };
+        company.advise_due = now + OBSERVATION_INTERVAL;
         if !company.advise {
             return;
         }
@@ -241,9 +243,9 @@
         self.router_due = now;
     }
 
-    fn saw(&mut self, now: Micros, server: usize, ending: DispatchEnd, said: Report) {
-        let scouts = self.scouts(server);
-        let Some(company) = &mut self.company else { return };
+    fn observe(&mut self, now: Micros, server: usize, ending: DispatchEnd, said: Report) {
+        let scouts = self.holds_probing_duty(server);
+        let Some(company) = &mut self.membership else { return };
         let name = self.servers_named.name(server);
         let reach = match ending {
             DispatchEnd::Answered | DispatchEnd::Errored | DispatchEnd::SentBack | DispatchEnd::Missed => {
@@ -256,37 +258,37 @@
         let role = said.primary.map(|leads| if leads { Fact::Leads } else { Fact::Follows });
         for fact in [reach, role, said.position.map(Fact::At)].into_iter().flatten() {
             match fact {
-                // The others go by the age of it.
+                // The others rely on its age.
                 Fact::Refuses | Fact::Hangs if scouts => company.fellows.confirmed(now, name, fact),
                 _ => company.fellows.saw(now, name, fact),
             }
         }
     }
 
-    /// What the end of a dispatch tells of its server. The position that comes with a write is its commit's.
-    pub(super) fn saw_outcome(
+    /// Records the end of a dispatch as evidence of its server. The position in a write's answer is its commit.
+    pub(super) fn observe_outcome(
         &mut self,
         now: Micros,
         command: u64,
         dispatch: usize,
         ending: DispatchEnd,
-        said: &Said,
+        said: &ServerAnswer,
     ) {
-        let Some(held) = self.commands.get(command).filter(|_| self.company.is_some()) else { return };
+        let Some(held) = self.commands.get(command).filter(|_| self.membership.is_some()) else { return };
         let Some(server) = held.dispatches.get(dispatch).map(|d| d.server) else { return };
         let write = self.deployment.command_groups[held.command.command_group].primary;
         let position = said.stated.position.filter(|_| !write);
-        self.saw(now, server, ending, Report { position, ..said.stated });
+        self.observe(now, server, ending, Report { position, ..said.stated });
     }
 
-    pub(super) fn saw_probe(&mut self, now: Micros, server: usize, ending: DispatchEnd, said: Report) {
-        if self.company.is_some() {
-            self.saw(now, server, ending, said);
+    pub(super) fn observe_probe(&mut self, now: Micros, server: usize, ending: DispatchEnd, said: Report) {
+        if self.membership.is_some() {
+            self.observe(now, server, ending, said);
         }
     }
 
-    pub(super) fn list_tells_company(&mut self, now: Micros, entries: &[ServerListEntry]) {
-        let Some(company) = &mut self.company else { return };
+    pub(super) fn membership_on_list(&mut self, now: Micros, entries: &[ServerListEntry]) {
+        let Some(company) = &mut self.membership else { return };
         for entry in entries {
             if entry.state == tansyjunction::interface::ServerState::Gone {
                 company.groups.remove(&entry.server);
@@ -299,26 +301,26 @@
         }
     }
 
-    /// SIGTERM has come.
-    pub(super) fn leave_company(&mut self, now: Micros) {
-        if let Some(company) = &mut self.company {
+    /// Leaves the membership after SIGTERM.
+    pub(super) fn leave_membership(&mut self, now: Micros) {
+        if let Some(company) = &mut self.membership {
             company.fellows.leave(now);
-            self.send_company();
+            self.send_membership();
         }
     }
 
-    /// SIGHUP has come: the keys may have changed.
-    pub(super) fn rekey_company(&mut self) {
-        let Some(company) = &mut self.company else { return };
+    /// Reads the keys again after SIGHUP.
+    pub(super) fn reload_membership_keys(&mut self) {
+        let Some(company) = &mut self.membership else { return };
         match read_keys(&company.key_file) {
             Ok(keys) => company.fellows.rekey(keys),
-            Err(message) => error!(target: "fellows", "the keys stay as they were: {message}"),
+            Err(message) => error!(target: "fellows", "the key file was not reloaded: {message}"),
         }
     }
 
-    /// For operators: members, evidence with its ages, who suspects whom.
-    pub(super) fn company_status(&self, now: Micros) -> Result<Json, String> {
-        let company = self.company.as_ref().ok_or("fellows are switched off")?;
+    /// Status for operators: members, evidence with ages, and suspicions.
+    pub(super) fn membership_status(&self, now: Micros) -> Result<Json, String> {
+        let company = self.membership.as_ref().ok_or("fellows are switched off")?;
         let fellows = &company.fellows;
         let age = |at: Micros| now.saturating_sub(at) / 1_000;
         let zone = |zone: u8| self.deployment.zones.get(usize::from(zone)).cloned().unwrap_or_default();
--- a/crates/gateway/src/gateway/control.rs
+++ b/crates/gateway/src/gateway/control.rs
@@ -1,5 +1,4 @@
-//! The operators' socket: a line of JSON asks, a line of JSON answers. It is made with mode 0600 and removed at the
-//! end.
+//! Operators' Unix socket: one line of JSON per request and answer. Created with mode 0600 and removed at the end.
 
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
@@ -17,12 +16,13 @@
 
 use super::{Due, Gateway};
 
-/// Longest line, also where documents may come; connections at once; how long one may take for its next line.
-const LINE_MOST: usize = 4_096;
-const DOCUMENT_MOST: usize = 128 << 10;
-const AT_ONCE: usize = 8;
-const SILENT_FOR: Micros = 10_000_000;
+/// Longest request line in bytes, and where it may contain a document; most connections; idle time of a connection.
+const MAX_LINE_BYTES: usize = 4_096;
+const MAX_DOCUMENT_LINE_BYTES: usize = 128 << 10;
+const MAX_CONNECTIONS: usize = 8;
+const IDLE_TIMEOUT: Micros = 10_000_000;
 
+/// An operator's connection.
 struct Control {
     stream: Rc<UnixStream>,
     token: RegistrationToken,
@@ -30,26 +30,26 @@
     limit: Timer,
 }
 
-/// The operators' connections. They are given back in [`Gateway::close_control`].
+/// Operators' connections. They are closed in [`Gateway::close_control`].
 #[derive(Default)]
 pub struct Controls {
     connections: BTreeMap<u64, Control>,
 }
 
-/// The socket in the file system, removed with its owner.
-pub struct Opened {
+/// The socket's path, removed on drop.
+pub struct SocketPath {
     path: PathBuf,
 }
 
-impl Drop for Opened {
+impl Drop for SocketPath {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.path);
     }
 }
 
 impl Gateway {
-    /// Listens for operators at a path. What a gateway left there that died is replaced; one that lives is not.
-    pub fn open_control(&mut self, path: &Path) -> std::io::Result<Opened> {
+    /// Listens for operators at a path. Replaces the socket of a dead gateway, but not of a running one.
+    pub fn open_control(&mut self, path: &Path) -> std::io::Result<SocketPath> {
         if std::fs::symlink_metadata(path).is_ok_and(|there| there.file_type().is_socket()) {
             if UnixStream::connect(path).is_ok() {
                 return Err(std::io::Error::new(ErrorKind::AddrInUse, "another gateway listens there"));
@@ -57,13 +57,13 @@
             std::fs::remove_file(path)?;
         }
         let listener = UnixListener::bind(path)?;
-        let opened = Opened { path: path.to_path_buf() };
+        let opened = SocketPath { path: path.to_path_buf() };
         std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600))?;
         listener.set_nonblocking(true)?;
         let source = Generic::new(listener, Interest::READ, Mode::Level);
         let accept = |_, listener: &mut calloop::generic::NoIoDrop<UnixListener>, gateway: &mut Gateway| {
             while let Ok((stream, _)) = listener.accept() {
-                gateway.control_comes(stream);
+                gateway.accept_control(stream);
             }
             Ok(PostAction::Continue)
         };
@@ -71,9 +71,9 @@
         Ok(opened)
     }
 
-    fn control_comes(&mut self, stream: UnixStream) {
+    fn accept_control(&mut self, stream: UnixStream) {
         let key = self.number();
-        if self.controls.connections.len() >= AT_ONCE || stream.set_nonblocking(true).is_err() {
+        if self.controls.connections.len() >= MAX_CONNECTIONS || stream.set_nonblocking(true).is_err() {
             warn!(target: "limits", "too many control connections");
             return;
         }
@@ -86,7 +86,7 @@
         match self.handle.insert_source(source, ready) {
             Ok(token) => {
                 let mut limit = Timer::default();
-                limit.set(&mut self.due, Due::Control(key), self.clock.now() + SILENT_FOR);
+                limit.set(&mut self.due, Due::Control(key), self.clock.now() + IDLE_TIMEOUT);
                 let control = Control { stream, token, inbox: Vec::new(), limit };
                 self.controls.connections.insert(key, control);
             }
@@ -94,15 +94,15 @@
         }
     }
 
-    /// The one place that gives up an operator's connection.
+    /// Closes an operator's connection; the only place that does.
     fn close_control(&mut self, key: u64) {
         if let Some(control) = self.controls.connections.remove(&key) {
             self.handle.remove(control.token);
         }
     }
 
-    /// Guards against clients that send half a line and go on to hold a connection.
-    pub(super) fn control_late(&mut self, key: u64, at: Micros) {
+    /// Closes connections that send an incomplete line and stay open.
+    pub(super) fn control_timeout(&mut self, key: u64, at: Micros) {
         let Some(control) = self.controls.connections.get_mut(&key) else { return };
         if control.limit.expire(&mut self.due, Due::Control(key), at) {
             self.close_control(key);
@@ -110,7 +110,7 @@
     }
 
     fn control_ready(&mut self, key: u64) {
-        let most = if self.agreeing.is_some() { DOCUMENT_MOST } else { LINE_MOST };
+        let most = if self.consensus.is_some() { MAX_DOCUMENT_LINE_BYTES } else { MAX_LINE_BYTES };
         let Some(control) = self.controls.connections.get_mut(&key) else { return };
         let mut bytes = [0; 1_024];
         let ended = loop {
@@ -133,13 +133,13 @@
             if let Some(answer) = self.control_line(&line, &stream) {
                 let mut answer = answer.to_string().into_bytes();
                 answer.push(b'\n');
-                // An operator who does not read the few bytes of an answer is parted with.
+                // An operator who does not read the answer is disconnected.
                 if (&*stream).write_all(&answer).is_err() {
                     self.close_control(key);
                     return;
                 }
             }
-            let due = self.clock.now() + SILENT_FOR;
+            let due = self.clock.now() + IDLE_TIMEOUT;
             if let Some(control) = self.controls.connections.get_mut(&key) {
                 control.limit.set(&mut self.due, Due::Control(key), due);
             }
@@ -149,7 +149,7 @@
         }
     }
 
-    /// One line of an operator, and the answer to it; None: the council's thread answers.
+    /// Handles a request line and returns the answer; `None` if the consensus thread answers.
     fn control_line(&mut self, line: &[u8], stream: &UnixStream) -> Option<Json> {
         let error = |message: String| json!({ "error": message });
         let asked: Json = match serde_json::from_slice(line) {
@@ -157,18 +157,18 @@
             Err(_) => return Some(error("the line is no JSON".into())),
         };
         if asked["do"] == "council" {
-            return self.council_asked(&asked, stream).err();
+            return self.consensus_request(&asked, stream).err();
         }
-        Some(self.controlled(&asked).unwrap_or_else(error))
+        Some(self.execute_request(&asked).unwrap_or_else(error))
     }
 
-    fn controlled(&mut self, asked: &Json) -> Result<Json, String> {
+    fn execute_request(&mut self, asked: &Json) -> Result<Json, String> {
         let now = self.clock.now();
         let word = |key: &str| asked[key].as_str().ok_or(format!("'{key}' is missing"));
         let what = word("do")?;
         match what {
             "status" => return self.control_status(now),
-            "fellows" => return self.company_status(now),
+            "fellows" => return self.membership_status(now),
             _ => {}
         }
         let name = word("shard")?;
@@ -180,7 +180,7 @@
             }
             _ => None,
         };
-        let holds = self.holds.as_mut().ok_or("holds are switched off")?;
+        let holds = self.handover.as_mut().ok_or("holds are switched off")?;
         let handover = &mut holds.handover;
         let done = match (what, target) {
             ("plan", Some(target)) => handover.plan_change(now, shard, target),
@@ -190,12 +190,12 @@
             (other, _) => return Err(format!("'{other}' is neither plan, status, abort, pause nor resume")),
         };
         done.map_err(|refusal| refusal.to_string())?;
-        info!(target: "servers", "an operator says {what} for shard {name}");
+        info!(target: "servers", "operator request '{what}' for shard {name}");
         Ok(json!({ "ok": true }))
     }
 
     fn control_status(&self, now: Micros) -> Result<Json, String> {
-        let holds = self.holds.as_ref().ok_or("holds are switched off")?;
+        let holds = self.handover.as_ref().ok_or("holds are switched off")?;
         let server = |server: &usize| self.servers_named.name(*server).to_string();
         let shards = holds.handover.all_status().into_iter().map(|status| {
             json!({
--- a/crates/gateway/src/gateway/council.rs
+++ b/crates/gateway/src/gateway/council.rs
@@ -1,5 +1,5 @@
-//! Where commands meet what was agreed: plans of changes of primary are handed to the holds, and what this gateway
-//! knows of them is told to the council's thread. Nothing is decided here, and no command waits for that thread.
+//! Consensus in the serving thread: passes agreed plans to the handover, and this gateway's knowledge to the consensus
+//! thread. Makes no decisions, and no command waits for that thread.
 
 use std::collections::BTreeMap;
 use std::os::unix::net::UnixStream;
@@ -14,36 +14,39 @@
 use tansyjunction_settings::Program;
 use tracing::info;
 
-use super::scout::Scouting;
+use super::scout::SharedProbing;
 use super::{Due, Gateway};
-use crate::council::{self, Asked, Facts, Handle, Order, Planned, Server, Told, Unable, Who};
+use crate::council::{
+    self, AgreedPlans, Facts, Handle, Identity, OperatorRequest, PlannedShard, RequestError, Server,
+    ThreadCommand,
+};
 use crate::run::clock::boottime;
 
-/// How long the council's thread may take to hand on duties after the last command.
-const LEAVES_WITHIN: Duration = Duration::from_millis(500);
+/// Time for the consensus thread to hand over duties after the last command.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(500);
 const TENTHS: usize = 10;
 
-/// What this gateway has of the council.
-pub struct Agreeing {
+/// The serving thread's side of the consensus.
+pub struct Consensus {
     handle: Handle,
-    told: Arc<Told>,
-    /// Changes that the holds were told of, by shard: the number of the plan and its target.
+    told: Arc<AgreedPlans>,
+    /// Changes passed to the handover, by shard: number of the plan and its target.
     holding: BTreeMap<u32, (u64, String)>,
-    /// Of each listed server: its shard, and whether it drains or is gone. None: no list has come yet.
+    /// Shard of each listed server, and whether it drains or is gone. `None`: no list yet.
     listed: Option<BTreeMap<usize, (usize, bool)>>,
-    /// Names of gateways among the fellows are those of the council.
+    /// Whether the names of the membership are those of the consensus.
     same_names: bool,
 }
 
 impl Gateway {
-    /// Takes part in the council as the settings say; leaves all as it is where they do not.
-    pub fn open_council(&mut self, program: &Program) -> Result<(), String> {
+    /// Starts the consensus thread if the settings enable it.
+    pub fn open_consensus(&mut self, program: &Program) -> Result<(), String> {
         let set = &program.council;
         if !set.enabled {
             return Ok(());
         }
         let now = self.clock.now();
-        let who = Who {
+        let who = Identity {
             name: &self.deployment.name,
             zone: &self.deployment.zone,
             life: now / 1_000,
@@ -51,62 +54,62 @@
         };
         let opened = council::open(set, &who).map_err(|fault| format!("{fault}; {}", fault.remedy()))?;
         let (handle, woken) = opened;
-        let told = |(), _: &mut (), gateway: &mut Gateway| gateway.council_told();
+        let told = |(), _: &mut (), gateway: &mut Gateway| gateway.on_agreed();
         self.handle.insert_source(woken, told).map_err(|error| format!("'council': {error}"))?;
         self.due.add(now + handle.beat, Due::Council);
         let same_names = program.fellows.enabled && !program.fellows.peers.is_empty();
-        let (told, holding) = (handle.told(), BTreeMap::new());
-        // A list may have come with the configuration, before there was a council.
-        let known = self.servers.there();
+        let (told, holding) = (handle.agreed(), BTreeMap::new());
+        // A list in the configuration may have been applied before.
+        let known = self.servers.present();
         let shards = known.iter().filter_map(|server| Some((*server, (self.servers.shard(*server)?, false))));
         let listed = (!known.is_empty()).then(|| shards.collect());
-        self.scouting = set.scout.then(|| Scouting::new(set.scout_word));
-        self.agreeing = Some(Agreeing { handle, told, holding, listed, same_names });
-        self.tell_council(true);
+        self.probing = set.scout.then(|| SharedProbing::new(set.scout_word));
+        self.consensus = Some(Consensus { handle, told, holding, listed, same_names });
+        self.report_facts(true);
         Ok(())
     }
 
-    /// Something was agreed.
-    fn council_told(&mut self) {
-        let Some(agreeing) = &mut self.agreeing else { return };
-        agreeing.told = agreeing.handle.told();
-        self.follow_plans();
-        self.tell_council(true);
+    /// Handles newly agreed state.
+    fn on_agreed(&mut self) {
+        let Some(agreeing) = &mut self.consensus else { return };
+        agreeing.told = agreeing.handle.agreed();
+        self.apply_plans();
+        self.report_facts(true);
     }
 
-    /// The beat: facts are told though nothing has changed, and plans that could not be taken up are tried again.
-    pub(super) fn council_beat(&mut self, at: Micros) {
-        let Some(agreeing) = &self.agreeing else { return };
+    /// Reports facts periodically even if unchanged, and retries plans that could not be applied.
+    pub(super) fn consensus_timer(&mut self, at: Micros) {
+        let Some(agreeing) = &self.consensus else { return };
         let beat = agreeing.handle.beat;
-        self.follow_plans();
-        self.tell_council(false);
+        self.apply_plans();
+        self.report_facts(false);
         self.due.add(self.clock.now().max(at) + beat, Due::Council);
     }
 
-    /// A shard has turned to another phase or primary.
-    pub(super) fn turned_council(&mut self) {
+    /// Handles a change of phase or primary in a shard.
+    pub(super) fn consensus_on_phase(&mut self) {
         if self
-            .agreeing
+            .consensus
             .as_ref()
             .is_some_and(|agreeing| agreeing.told.plans.values().any(|plan| !plan.is_finished()))
         {
-            self.follow_plans();
-            self.tell_council(true);
+            self.apply_plans();
+            self.report_facts(true);
         }
     }
 
-    /// Has the holds do as the agreed plans say. One that is not taken is tried again with the next beat.
-    fn follow_plans(&mut self) {
+    /// Applies the agreed plans to the handover. Rejected ones are retried periodically.
+    fn apply_plans(&mut self) {
         let now = self.clock.now();
-        let Some(agreeing) = &mut self.agreeing else { return };
-        let Some(holds) = &mut self.holds else { return };
+        let Some(agreeing) = &mut self.consensus else { return };
+        let Some(holds) = &mut self.handover else { return };
         for (shard, plan) in &agreeing.told.plans {
             let name = shard.to_string();
             let Some(place) = self.groups.find(&name) else { continue };
             let held = agreeing.holding.get(shard).is_some_and(|(number, _)| *number == plan.number);
             let holds_for = agreeing.holding.get(shard).map(|(_, to)| to.clone());
             if !held && let Some(to) = holds_for {
-                // Another plan has come after it.
+                // Another plan follows it.
                 agreeing.holding.remove(shard);
                 abort(holds, now, place, self.servers_named.find(&to));
             }
@@ -115,7 +118,7 @@
                     let Some(target) = self.servers_named.find(&plan.to) else { continue };
                     if holds.handover.plan_change(now, place, target).is_ok() {
                         agreeing.holding.insert(*shard, (plan.number, plan.to.clone()));
-                        info!(target: "servers", "shard {name} is to be led by {} as agreed", plan.to);
+                        info!(target: "servers", "starting the agreed change of shard {name} to {}", plan.to);
                     }
                 }
                 Step::Done | Step::Aborted if held => {
@@ -127,19 +130,19 @@
         }
     }
 
-    /// Who scouts a group, other than by an agreed state that may be old.
-    pub(super) fn scout_of(&self, group: &str) -> Option<String> {
-        let agreeing = self.agreeing.as_ref().filter(|agreeing| agreeing.same_names)?;
-        let scouts = agreeing.handle.scouts();
-        scouts.of.get(group).filter(|_| boottime() < scouts.until).cloned()
+    /// Holder of a group's probing duty, unless the agreed state may be outdated.
+    pub(super) fn probing_holder(&self, group: &str) -> Option<String> {
+        let agreeing = self.consensus.as_ref().filter(|agreeing| agreeing.same_names)?;
+        let scouts = agreeing.handle.probing_holders();
+        scouts.by_group.get(group).filter(|_| boottime() < scouts.until).cloned()
     }
 
-    fn tell_council(&self, at_once: bool) {
-        let Some(agreeing) = &self.agreeing else { return };
+    fn report_facts(&self, at_once: bool) {
+        let Some(agreeing) = &self.consensus else { return };
         let under_way = agreeing.told.plans.iter().filter(|(_, plan)| !plan.is_finished());
-        let planned: BTreeMap<u32, Planned> =
-            under_way.map(|(shard, plan)| (*shard, self.planned(agreeing, *shard, plan))).collect();
-        let company = self.company.as_ref().map(|company| company.members());
+        let planned: BTreeMap<u32, PlannedShard> =
+            under_way.map(|(shard, plan)| (*shard, self.planned_shard(agreeing, *shard, plan))).collect();
+        let company = self.membership.as_ref().map(|company| company.members());
         let health = company.map_or(0, |members| members.health().min(u32::from(u8::MAX)) as u8);
         let suspected = company.into_iter().filter(|_| agreeing.same_names).flat_map(|members| {
             members.all().filter(|seen| seen.standing != Seen::Alive).map(|seen| seen.fellow.name.clone())
@@ -148,28 +151,28 @@
         let free = self.deployment.sockets.saturating_sub(held) * TENTHS / self.deployment.sockets;
         let facts = Facts {
             at: boottime(),
-            taken: agreeing.told.newest,
+            adopted: agreeing.told.newest,
             health,
-            room: if self.stops.is_some() { 0 } else { free.max(1) as u8 },
-            leaves: self.stops.is_some(),
+            room: if self.stop_deadline.is_some() { 0 } else { free.max(1) as u8 },
+            shutting_down: self.stop_deadline.is_some(),
             suspected: suspected.collect(),
             planned,
-            scouted: self.scouting.as_ref().map_or(BTreeMap::new(), |scouting| scouting.done(&self.groups)),
+            probing: self.probing.as_ref().map_or(BTreeMap::new(), |scouting| scouting.done(&self.groups)),
         };
-        agreeing.handle.tell(facts, at_once);
+        agreeing.handle.report(facts, at_once);
     }
 
-    /// What is known here of a shard whose primary is to change.
-    fn planned(&self, agreeing: &Agreeing, shard: u32, plan: &Plan) -> Planned {
-        let Some(place) = self.groups.find(&shard.to_string()) else { return Planned::default() };
-        let status = self.holds.as_ref().and_then(|holds| holds.handover.shard_status(place));
+    /// What this gateway knows about a shard whose primary is to change.
+    fn planned_shard(&self, agreeing: &Consensus, shard: u32, plan: &Plan) -> PlannedShard {
+        let Some(place) = self.groups.find(&shard.to_string()) else { return PlannedShard::default() };
+        let status = self.handover.as_ref().and_then(|holds| holds.handover.shard_status(place));
         let word = status.and_then(|status| {
             let target = self.servers_named.find(&plan.to);
             let held = agreeing.holding.get(&shard).is_some_and(|(number, _)| *number == plan.number);
             if held && status.phase == Phase::Electing && status.target.is_some() && status.target == target {
                 return Some(ShardReport::Drained { number: plan.number });
             }
-            // Who holds writes sends none to anybody.
+            // A gateway that holds writes sends none to any server.
             let sends = status.phase.accepts_writes() || status.phase == Phase::Releasing;
             let primary = status.primary.filter(|_| sends)?;
             Some(ShardReport::Leads { server: self.servers_named.name(primary).into() })
@@ -183,11 +186,11 @@
             });
             known.collect()
         });
-        Planned { word, servers }
+        PlannedShard { word, servers }
     }
 
-    pub(super) fn list_tells_council(&mut self, entries: &[ServerListEntry], whole: bool) {
-        let Some(agreeing) = &mut self.agreeing else { return };
+    pub(super) fn consensus_on_list(&mut self, entries: &[ServerListEntry], whole: bool) {
+        let Some(agreeing) = &mut self.consensus else { return };
         let listed = agreeing.listed.get_or_insert_default();
         if whole {
             listed.clear();
@@ -195,67 +198,68 @@
         for entry in entries {
             listed.insert(entry.server, (entry.group, entry.state != ServerState::Serving));
         }
-        self.tell_council(false);
+        self.report_facts(false);
     }
 
-    /// An operator's word for the council: Ok where the other thread answers it.
-    pub(super) fn council_asked(&self, word: &Json, stream: &UnixStream) -> Result<(), Json> {
-        let error = |why: Unable| council::unable(&why);
-        let agreeing = self.agreeing.as_ref().ok_or(Unable::Off).map_err(error)?;
-        let shard = self.council_shard(word).map_err(error)?;
+    /// Passes an operator's request to the consensus thread, which answers it.
+    pub(super) fn consensus_request(&self, word: &Json, stream: &UnixStream) -> Result<(), Json> {
+        let error = |why: RequestError| council::error_json(&why);
+        let agreeing = self.consensus.as_ref().ok_or(RequestError::Off).map_err(error)?;
+        let shard = self.request_shard(word).map_err(error)?;
         let stream = stream.try_clone().map_err(|error| json!({ "error": error.to_string() }))?;
-        let asked = Asked { word: word.clone(), stream, shard };
-        match agreeing.handle.order(Order::Answer(asked)) {
+        let asked = OperatorRequest { word: word.clone(), stream, shard };
+        match agreeing.handle.send(ThreadCommand::Answer(asked)) {
             true => Ok(()),
-            false => Err(error(Unable::Silent)),
+            false => Err(error(RequestError::Silent)),
         }
     }
 
-    /// The shard that a word names, its primary, and whether its target is fit.
-    fn council_shard(&self, word: &Json) -> Result<Option<(u32, String)>, Unable> {
+    /// Checks the shard and target named by a request; returns the shard and its primary.
+    fn request_shard(&self, word: &Json) -> Result<Option<(u32, String)>, RequestError> {
         let Some(name) = word["shard"].as_str() else { return Ok(None) };
-        let number = name.parse::<u32>().map_err(|_| Unable::NoNumber(name.into()))?;
+        let number = name.parse::<u32>().map_err(|_| RequestError::NoNumber(name.into()))?;
         if word["what"] != "plan" {
             return Ok(Some((number, String::new())));
         }
-        let to = word["to"].as_str().ok_or(Unable::Missing("to"))?;
-        let place = self.groups.find(name).ok_or_else(|| Unable::NoShard(name.into()))?;
+        let to = word["to"].as_str().ok_or(RequestError::Missing("to"))?;
+        let place = self.groups.find(name).ok_or_else(|| RequestError::NoShard(name.into()))?;
         let target = self.servers_named.find(to).filter(|server| self.servers.shard(*server) == Some(place));
-        let target = target.ok_or_else(|| Unable::NoServer { server: to.into(), shard: name.into() })?;
-        let status = self.holds.as_ref().and_then(|holds| holds.handover.shard_status(place));
+        let target =
+            target.ok_or_else(|| RequestError::NoServer { server: to.into(), shard: name.into() })?;
+        let status = self.handover.as_ref().and_then(|holds| holds.handover.shard_status(place));
         let primary = status.and_then(|status| status.primary);
-        let primary = primary.ok_or_else(|| Unable::NoPrimary(name.into()))?;
+        let primary = primary.ok_or_else(|| RequestError::NoPrimary(name.into()))?;
         if primary == target {
-            return Err(Unable::Leads { server: to.into(), shard: name.into() });
+            return Err(RequestError::Leads { server: to.into(), shard: name.into() });
         }
         Ok(Some((number, self.servers_named.name(primary).into())))
     }
 
-    /// SIGTERM has come.
-    pub(super) fn leave_council(&self) {
-        self.tell_council(true);
+    /// Reports SIGTERM.
+    pub(super) fn leave_consensus(&self) {
+        self.report_facts(true);
     }
 
-    /// SIGHUP has come: the keys may have changed.
-    pub(super) fn rekey_council(&self) {
-        if let Some(agreeing) = &self.agreeing {
-            agreeing.handle.order(Order::Rekey);
+    /// Reads the keys again after SIGHUP.
+    pub(super) fn reload_consensus_keys(&self) {
+        if let Some(agreeing) = &self.consensus {
+            agreeing.handle.send(ThreadCommand::Rekey);
         }
     }
 
-    /// All is answered: the council's thread ends.
-    pub fn end_council(&mut self) {
-        if let Some(agreeing) = self.agreeing.take() {
-            agreeing.handle.join(LEAVES_WITHIN);
+    /// Ends the consensus thread once all commands are answered.
+    pub fn end_consensus(&mut self) {
+        if let Some(agreeing) = self.consensus.take() {
+            agreeing.handle.join(LEAVE_TIMEOUT);
         }
     }
 }
 
-/// Takes back what an agreed plan had the holds do, unless they are past it or an operator has other plans.
-fn abort(holds: &mut super::holds::Holds, now: Micros, place: usize, target: Option<usize>) {
+/// Aborts a change started by an agreed plan, unless it has passed that point or an operator has planned another one.
+fn abort(holds: &mut super::holds::WriteHolding, now: Micros, place: usize, target: Option<usize>) {
     let status = holds.handover.shard_status(place);
     if target.is_some() && status.and_then(|status| status.target) == target {
-        // Refused only where nothing is under way any more.
+        // Rejected only if no change is in progress.
         let _ = holds.handover.abort_change(now, place);
     }
 }
--- a/crates/gateway/src/gateway/discovery.rs
+++ b/crates/gateway/src/gateway/discovery.rs
@@ -1,4 +1,4 @@
-//! The connection to discovery: the whole list first, then the watch that keeps it up to date.
+//! Connection to discovery: first the whole server list, then a watch for changes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::TcpStream;
@@ -10,76 +10,79 @@
 use tracing::warn;
 
 use super::{Due, Gateway};
-use crate::wire::directory::{Answer, Came, Stands};
+use crate::wire::directory::{Received, Response, ResponseState};
 
-/// How long discovery, which listens on this machine, may take to begin with the whole list. What was connected
-/// during an outage may never be answered, while all that discovery has counts from the outage's end: the next try
-/// has to come well within the second that servers which drain may still be sent to. A process that serves nothing
-/// yet waits for twice as much after each silence, so that one that is slow and not silent is heard.
-const WATCH_OPENS: Micros = 500_000;
-/// Discovery writes every 2 s. A beat and a half without a word is a silence: what it hides counts as told 6 s after
-/// its beginning, by when two more attempts, silent as well, must have been given up.
-const WATCH_SILENCE: Micros = 3_000_000;
-/// The whole list has to be there so long after it was asked for. Guards against a discovery that is slow by the
-/// byte, of which each byte would be a sign of life.
-const LIST_WHOLE: Micros = 2_500_000;
-/// A list or an empty line has to be whole on a watch so long after the last one, also a beat before one that comes in
-/// pieces. The whole list may take as much for a process that serves nothing yet, and after one that was too slow: one
-/// that is slow and lives is heard then.
-const WATCH_WHOLE: Micros = 5_000_000;
-/// Between attempts to reach discovery: the first pause, and the longest. What it has counts as told all the while. The
-/// pauses begin anew once a watch has lived for longer than the longest of them.
-const WATCH_AGAIN: Micros = 100_000;
-const WATCH_AGAIN_MOST: Micros = 500_000;
+/// Time for discovery, which runs on this machine, to begin its answer with the whole list. A request made during an
+/// outage may never be answered, while everything discovery has counts as notified from the end of the outage. The
+/// retry must come well within the second for which draining servers may still get commands. A process that serves
+/// nothing yet doubles the time after each silence, so that a slow discovery is heard.
+const REQUEST_TIMEOUT: Micros = 500_000;
+/// Discovery writes every 2 s; 1.5 intervals without data are a silence. Changes hidden by it count as notified 6 s
+/// after its beginning, so two more silent attempts must fit before.
+const WATCH_SILENCE_TIMEOUT: Micros = 3_000_000;
+/// Time for the whole list to be complete after the request. Limits a discovery that sends byte by byte.
+const LIST_TIMEOUT: Micros = 2_500_000;
+/// Time for a list or empty line on a watch to be complete after the last one, including the interval before one that
+/// comes in pieces. The whole list may take as long in a process that serves nothing yet, and after one that was too
+/// slow, so that a slow discovery is heard.
+const WATCH_LIST_TIMEOUT: Micros = 5_000_000;
+/// First and longest pause between attempts; everything discovery has counts as notified meanwhile. The pause is reset
+/// once a watch has lasted for longer than the longest one.
+const RETRY_PAUSE: Micros = 100_000;
+const MAX_RETRY_PAUSE: Micros = 500_000;
 
-/// What discovery has and can be asked for counts as told so long after, whatever failed before; so does what a watch
-/// misses that fell silent. After SIGHUP it counts sooner. Where servers drain they may be sent to for a second after
-/// that.
-const COUNTS: Micros = 6_000_000;
-const COUNTS_AFTER_SIGHUP: Micros = 4_000_000;
-const DRAINS: Micros = 1_000_000;
-/// What a connection on this machine and the whole list take together where nothing is wrong.
-const ANSWERED: Micros = 300_000;
+/// Time after which everything that discovery has and could be asked counts as notified, whatever failed before; also
+/// what a silent watch missed. Shorter after SIGHUP. Draining servers may get commands for one more second.
+const NOTIFIED_AFTER: Micros = 6_000_000;
+const NOTIFIED_AFTER_SIGHUP: Micros = 4_000_000;
+const DRAIN_GRACE: Micros = 1_000_000;
+/// Time for a local connection and the whole list if nothing is wrong.
+const ANSWER_TIME: Micros = 300_000;
 
-// The longest paths to the list, each as the sum of what is waited for in turn.
-// A watch falls silent, or is mute as it is opened: two asks are mute as well, the third one is answered. 4.3 s.
-const _: () = assert!(WATCH_SILENCE + 2 * WATCH_OPENS + ANSWERED <= COUNTS);
-// A watch falls silent, and the ask is slow by the byte. 5.8 s.
-const _: () = assert!(WATCH_SILENCE + LIST_WHOLE + ANSWERED <= COUNTS);
-// Discovery is back while a call of before is slow by the byte, and the next one is mute. 5.8 s.
-const _: () = assert!(WATCH_WHOLE + WATCH_OPENS + ANSWERED <= COUNTS && LIST_WHOLE <= WATCH_WHOLE);
-// Or that call breaks in its last moment, and the longest pause follows. 5.8 s.
-const _: () = assert!(WATCH_WHOLE + WATCH_AGAIN_MOST + ANSWERED <= COUNTS);
-// Discovery is back during a pause, or while an ask is mute: within the second that draining servers are given. 0.8 s.
-const _: () = assert!(WATCH_AGAIN_MOST + ANSWERED <= DRAINS && WATCH_OPENS + ANSWERED <= DRAINS);
-// After SIGHUP the first ask is slow by the byte, two more are mute. 3.8 s.
-const _: () = assert!(LIST_WHOLE + 2 * WATCH_OPENS + ANSWERED <= COUNTS_AFTER_SIGHUP);
-// After SIGHUP the first ask breaks as late as it can, and the longest pause and a mute ask follow. 3.8 s.
-const _: () = assert!(LIST_WHOLE + WATCH_AGAIN_MOST + WATCH_OPENS + ANSWERED <= COUNTS_AFTER_SIGHUP);
+// The longest paths to the list, each as the sum of the waits in sequence.
+// A watch falls silent or is silent from the start: two silent requests, the third is answered. 4.3 s.
+const _: () = assert!(WATCH_SILENCE_TIMEOUT + 2 * REQUEST_TIMEOUT + ANSWER_TIME <= NOTIFIED_AFTER);
+// A watch falls silent, and the request is slow byte by byte. 5.8 s.
+const _: () = assert!(WATCH_SILENCE_TIMEOUT + LIST_TIMEOUT + ANSWER_TIME <= NOTIFIED_AFTER);
+// Discovery is back while an earlier request is slow byte by byte, and the next one is silent. 5.8 s.
+const _: () = assert!(
+    WATCH_LIST_TIMEOUT + REQUEST_TIMEOUT + ANSWER_TIME <= NOTIFIED_AFTER
+        && LIST_TIMEOUT <= WATCH_LIST_TIMEOUT
+);
+// Or that request breaks at its last moment, and the longest pause follows. 5.8 s.
+const _: () = assert!(WATCH_LIST_TIMEOUT + MAX_RETRY_PAUSE + ANSWER_TIME <= NOTIFIED_AFTER);
+// Discovery is back during a pause or a silent request: within the second allowed for draining servers. 0.8 s.
+const _: () =
+    assert!(MAX_RETRY_PAUSE + ANSWER_TIME <= DRAIN_GRACE && REQUEST_TIMEOUT + ANSWER_TIME <= DRAIN_GRACE);
+// After SIGHUP the first request is slow byte by byte, two more are silent. 3.8 s.
+const _: () = assert!(LIST_TIMEOUT + 2 * REQUEST_TIMEOUT + ANSWER_TIME <= NOTIFIED_AFTER_SIGHUP);
+// After SIGHUP the first request breaks as late as possible, then the longest pause and a silent request. 3.8 s.
+const _: () =
+    assert!(LIST_TIMEOUT + MAX_RETRY_PAUSE + REQUEST_TIMEOUT + ANSWER_TIME <= NOTIFIED_AFTER_SIGHUP);
 
-/// One call on discovery.
+/// A request to discovery.
 struct Call {
     stream: Rc<TcpStream>,
     token: RegistrationToken,
-    answer: Answer,
+    answer: Response,
     opened: Micros,
-    /// When a whole list or sign of life has to be there.
+    /// When a complete list or sign of life is due.
     whole_by: Micros,
-    /// More may be there to be read: the others had their turn first.
+    /// Whether more data may be readable; others get their turn first.
     more: bool,
 }
 
-/// The connection to discovery and what it has brought.
+/// State of the connection to discovery, and the last list.
 pub(super) struct Watch {
     call: Option<Call>,
-    /// The last list's, while a watch from there is open; None: the whole list is asked for first.
+    /// Version from which a watch is open; `None`: the whole list is requested first.
     version: Option<u64>,
     pause: Micros,
-    /// How often in a row the whole list was asked for and nothing came.
+    /// Consecutive requests for the whole list without any answer.
     silences: u32,
-    /// The whole list was not whole in time.
+    /// Whether the whole list was not complete in time.
     slow: bool,
-    /// When it is asked anew if nothing comes before.
+    /// When to reconnect if nothing arrives before.
     pub(super) due: Timer,
     /// The entries in force.
     listed: BTreeMap<usize, ServerListEntry>,
@@ -88,88 +91,93 @@
 impl Default for Watch {
     fn default() -> Self {
         let (due, listed) = (Timer::default(), BTreeMap::new());
-        Watch { call: None, version: None, pause: WATCH_AGAIN, silences: 0, slow: false, due, listed }
+        Watch { call: None, version: None, pause: RETRY_PAUSE, silences: 0, slow: false, due, listed }
     }
 }
 
 impl Gateway {
-    /// Asks for the whole list, or opens the watch that follows it.
+    /// Requests the whole list, or opens the watch that follows it.
     pub(super) fn ask_discovery(&mut self) {
         let now = self.clock.now();
         let version = self.watch.version;
-        self.leave_discovery();
+        self.close_discovery();
         let pause = self.watch.pause;
-        self.watch.pause = (pause * 2).min(WATCH_AGAIN_MOST);
+        self.watch.pause = (pause * 2).min(MAX_RETRY_PAUSE);
         let address = self.deployment.discovery;
         match self.connect(address).and_then(|stream| self.watch(stream, Gateway::discovery_ready)) {
             Ok((stream, token)) => {
                 let (opens, whole) = match version {
-                    // A watch may say nothing before its first beat.
-                    Some(_) => (WATCH_SILENCE, WATCH_WHOLE),
-                    None if self.ready && !self.watch.slow => (WATCH_OPENS, LIST_WHOLE),
-                    None if self.ready => (WATCH_OPENS, WATCH_WHOLE),
-                    None => ((WATCH_OPENS << self.watch.silences.min(8)).min(WATCH_SILENCE), WATCH_WHOLE),
+                    // A watch may be silent until its first interval is over.
+                    Some(_) => (WATCH_SILENCE_TIMEOUT, WATCH_LIST_TIMEOUT),
+                    None if self.ready && !self.watch.slow => (REQUEST_TIMEOUT, LIST_TIMEOUT),
+                    None if self.ready => (REQUEST_TIMEOUT, WATCH_LIST_TIMEOUT),
+                    None => (
+                        (REQUEST_TIMEOUT << self.watch.silences.min(8)).min(WATCH_SILENCE_TIMEOUT),
+                        WATCH_LIST_TIMEOUT,
+                    ),
                 };
-                let answer = Answer::new(address, version);
+                let answer = Response::new(address, version);
                 let call = Call { stream, token, answer, opened: now, whole_by: now + whole, more: false };
                 (self.watch.call, self.watch.version) = (Some(call), version);
-                self.watch_due(now + opens);
+                self.set_watch_timer(now + opens);
             }
             Err(error) => {
                 warn!(target: "discovery", "discovery: {error}");
-                self.watch_due(now + pause);
+                self.set_watch_timer(now + pause);
             }
         }
     }
 
-    /// SIGHUP: another address may number its lists otherwise, and a watch at the same one may be silent; what is
-    /// there counts from here on either way. Until it tells its own list, the last one stays in force.
-    pub(super) fn discovery_anew(&mut self) {
-        self.leave_discovery();
-        (self.watch.pause, self.watch.silences, self.watch.slow) = (WATCH_AGAIN, 0, false);
+    /// Reconnects after SIGHUP: another discovery may number its lists differently, and a watch at the same one may
+    /// be silent. The last list stays in force until a new one arrives.
+    pub(super) fn reconnect_discovery(&mut self) {
+        self.close_discovery();
+        (self.watch.pause, self.watch.silences, self.watch.slow) = (RETRY_PAUSE, 0, false);
         self.ask_discovery();
     }
 
-    fn watch_due(&mut self, due: Micros) {
+    fn set_watch_timer(&mut self, due: Micros) {
         self.watch.due.set(&mut self.due, Due::Discovery, due);
     }
 
-    /// The one place that gives up the connection to discovery. Whoever is asked next may number the lists otherwise:
-    /// the whole one comes first then.
-    fn leave_discovery(&mut self) {
+    /// Closes the connection to discovery; the only place that does. The next one may number lists differently, so
+    /// the whole list is requested first.
+    fn close_discovery(&mut self) {
         self.watch.version = None;
         if let Some(call) = self.watch.call.take() {
             self.handle.remove(call.token);
         }
     }
 
-    /// It is time to read on, to ask anew, or to give up what was asked.
+    /// Handles the timer: reads on, reconnects, or gives up the request.
     pub(super) fn discovery_due(&mut self, at: Micros) {
         if let Some(call) = &mut self.watch.call {
             if std::mem::take(&mut call.more) {
-                let due = (self.clock.now() + WATCH_SILENCE).min(call.whole_by);
-                self.watch_due(due);
+                let due = (self.clock.now() + WATCH_SILENCE_TIMEOUT).min(call.whole_by);
+                self.set_watch_timer(due);
                 self.discovery_ready(Readiness { readable: true, writable: false, error: false });
                 return;
             }
             let slow = call.whole_by <= at;
             if self.watch.version.is_none() {
                 self.watch.slow |= slow;
-                // The whole list comes at once, or this one is silent too: a watch might wait for its beat.
+                // The whole list should come at once; a watch might wait for its interval.
                 self.watch.silences += u32::from(!slow);
             }
             match slow {
-                true => warn!(target: "discovery", "discovery is too slow: its list was not whole in time"),
-                false => warn!(target: "discovery", "discovery has fallen silent"),
+                true => {
+                    warn!(target: "discovery", "discovery is too slow: its list was not complete in time")
+                }
+                false => warn!(target: "discovery", "discovery has stopped sending"),
             }
-            self.leave_discovery();
+            self.close_discovery();
         }
         self.ask_discovery();
     }
 
     fn discovery_ready(&mut self, readiness: Readiness) {
         let Some(call) = &mut self.watch.call else { return };
-        let mut came = Came::default();
+        let mut came = Received::default();
         let reached = match call.stream.take_error() {
             Ok(None) if readiness.writable => call.answer.outbox.flush(&call.stream),
             Ok(None) => Ok(()),
@@ -177,73 +185,73 @@
         };
         let read = reached.map_err(|error| error.to_string()).and_then(|()| match readiness.readable {
             true => call.answer.read(&call.stream, &mut came),
-            false => Ok(Stands::Open),
+            false => Ok(ResponseState::Open),
         });
         let now = self.clock.now();
         if came.whole {
-            call.whole_by = now + WATCH_WHOLE;
+            call.whole_by = now + WATCH_LIST_TIMEOUT;
             self.watch.slow = false;
-            if self.watch.version.is_some() && now >= call.opened + WATCH_AGAIN_MOST {
-                self.watch.pause = WATCH_AGAIN;
+            if self.watch.version.is_some() && now >= call.opened + MAX_RETRY_PAUSE {
+                self.watch.pause = RETRY_PAUSE;
             }
         }
-        // Guards against a discovery that accepts and says nothing: only what it says counts as a sign of life.
+        // Only received data is a sign of life: a discovery may accept a connection and send nothing.
         if came.bytes {
-            let due = (now + WATCH_SILENCE).min(call.whole_by);
+            let due = (now + WATCH_SILENCE_TIMEOUT).min(call.whole_by);
             self.watch.silences = 0;
-            self.watch_due(due);
+            self.set_watch_timer(due);
         }
         let asked = self.watch.version.is_none();
         let fresh = !came.lists.is_empty();
         for list in came.lists {
-            // Guards against an agent that numbers anew: its lists would be taken for old ones as long as its watch
-            // lives.
+            // If discovery restarts its numbering, its lists would be ignored as old ones for as long as the watch
+            // lasts.
             if let Some(last) = self.watch.version.filter(|last| list.version < *last) {
                 return self.discovery_failed(&format!("list {} came after {last}", list.version));
             }
             self.watch.version = Some(list.version);
-            self.listed(list);
+            self.apply_server_list(list);
         }
         match read {
-            Ok(Stands::Open) => {}
-            Ok(Stands::More) => {
+            Ok(ResponseState::Open) => {}
+            Ok(ResponseState::More) => {
                 if let Some(call) = &mut self.watch.call {
                     call.more = true;
                 }
-                self.watch_due(now);
+                self.set_watch_timer(now);
             }
             // The whole list is followed by a watch from its version.
-            Ok(Stands::Ended) if fresh && asked => self.ask_discovery(),
-            Ok(Stands::Ended) => self.discovery_again(),
+            Ok(ResponseState::Ended) if fresh && asked => self.ask_discovery(),
+            Ok(ResponseState::Ended) => self.retry_discovery(),
             Err(message) => self.discovery_failed(&message),
         }
     }
 
     fn discovery_failed(&mut self, message: &str) {
-        warn!(target: "discovery", "discovery: {message}; its whole list is asked for");
-        self.discovery_again();
+        warn!(target: "discovery", "discovery: {message}; requesting the whole list");
+        self.retry_discovery();
     }
 
-    /// Asks for the whole list after a pause.
-    fn discovery_again(&mut self) {
-        self.leave_discovery();
+    /// Requests the whole list after a pause.
+    fn retry_discovery(&mut self) {
+        self.close_discovery();
         let due = self.clock.now() + self.watch.pause;
-        self.watch_due(due);
+        self.set_watch_timer(due);
     }
 
-    /// Takes in a list of servers, or its changes. Of a server that it names twice the last entry counts.
-    pub(super) fn listed(&mut self, list: ServerList) {
+    /// Applies a server list or its changes. Of duplicate entries the last one counts.
+    pub(super) fn apply_server_list(&mut self, list: ServerList) {
         let now = self.clock.now();
         if !std::mem::replace(&mut self.ready, true) {
-            self.takes = true;
+            self.accepts_commands = true;
             self.deployment.known = None;
-            self.resume.extend(self.clients.keys());
+            self.turns.extend(self.clients.keys());
         }
         let (mut entries, mut worthless) = (Vec::new(), Vec::new());
         let mut left_out =
-            if list.whole { BTreeSet::from_iter(self.servers.there()) } else { BTreeSet::new() };
+            if list.whole { BTreeSet::from_iter(self.servers.present()) } else { BTreeSet::new() };
         for (name, message) in &list.invalid {
-            warn!(target: "discovery", "discovery: {message}; {name} stays as it was");
+            warn!(target: "discovery", "discovery: {message}; the entry of {name} is unchanged");
             let known = self.servers_named.find(name).and_then(|server| self.watch.listed.get(&server));
             if let Some(known) = known {
                 left_out.remove(&known.server);
@@ -271,7 +279,7 @@
                 left_out.insert(server);
             } else {
                 self.watch.listed.insert(server, entry.clone());
-                worthless.extend(self.servers.known(server, host.address, host.started));
+                worthless.extend(self.servers.update(server, host.address, host.started));
             }
             entries.push(entry);
         }
@@ -284,30 +292,29 @@
         entries.reverse();
         self.router.update_server_list(now, Some(&entries), list.whole);
         self.router_due = now;
-        self.list_tells(now, &entries);
-        self.list_tells_company(now, &entries);
-        self.list_tells_council(&entries, list.whole);
-        if self.deployment.gone_binds {
+        self.handover_on_list(now, &entries);
+        self.membership_on_list(now, &entries);
+        self.consensus_on_list(&entries, list.whole);
+        if self.deployment.removal_is_final {
             self.forget_gone(&left_out);
         }
-        // Guards against what waits for a process that is no more: at the new one, which is cold, it is placed anew.
-        // Idle connections go first, all of them: what is placed anew must not be written to one, and then count as
-        // never sent.
+        // Commands that wait for a process that is gone are placed again, since the new one is cold. All idle
+        // connections are closed first, so that none of them is written to one, and then would count as never sent.
         let (waiting, idle): (Vec<u64>, Vec<u64>) = worthless
             .into_iter()
             .partition(|key| self.servers.get(*key).is_some_and(|line| line.job.is_some()));
-        idle.into_iter().for_each(|key| self.close_line(key));
-        waiting.into_iter().for_each(|key| self.call_off_unwritten(key));
-        self.judge_unwritten();
+        idle.into_iter().for_each(|key| self.close_connection(key));
+        waiting.into_iter().for_each(|key| self.cancel_unwritten(key));
+        self.recheck_unwritten();
     }
 
-    /// Notes which servers are gone, and forgets those that have been for long. Guards against a gateway and router
-    /// that grow with all the servers that there ever were.
+    /// Records which servers are gone, and forgets those that have been for long, so that memory does not grow with all
+    /// servers that ever existed.
     fn forget_gone(&mut self, gone: &BTreeSet<usize>) {
         let now = self.clock.now();
         for server in gone {
-            for key in self.servers.gone(*server, now) {
-                self.close_line(key);
+            for key in self.servers.mark_gone(*server, now) {
+                self.close_connection(key);
             }
         }
         while let Some(server) = self.servers.forget(now) {
@@ -316,7 +323,7 @@
             let gone =
                 ServerListEntry { server, group, zone, size, state: standing, primary: false, started: None };
             self.router.update_server_list(now, Some(&[gone]), false);
-            if let Some(holds) = &mut self.holds {
+            if let Some(holds) = &mut self.handover {
                 holds.handover.forget_server(server);
             }
             self.servers_named.forget(server);
