--- a/crates/gateway/src/gateway/due.rs
+++ b/crates/gateway/src/gateway/due.rs
@@ -1,64 +1,63 @@
-//! What falls due, and what signals ask for: the end, and a new configuration.
+//! Timers, and signals: shutdown and a new configuration.
 
 use tansyjunction::interface::*;
 use tracing::{error, info, warn};
 
-use super::company::Company;
+use super::company::Membership;
 use super::{Due, Gateway};
 use crate::run::deployment::Deployment;
 use crate::wire::client::Next;
-use crate::wire::server::{Job, Said};
+use crate::wire::server::{Job, ServerAnswer};
 
-/// What a new process is asked waits so long for discovery's list, which comes at once unless discovery is out of
-/// order.
-pub(super) const LIST_COMES: Micros = 200_000;
-/// The list that the configuration carries serves only after so long without another one: from the first moment all
-/// that discovery has counts as told. By then a watch that fell silent at the start would count as told as well, so
-/// that this process knows no less than those that have served on.
-const KNOWN_AFTER: Micros = 6_000_000;
-/// SIGKILL follows SIGTERM after the longest client timeout, or this if that is longer, and some more; by then all
-/// that was taken must have been answered, with time to spare.
-const STOPS_WITHIN: Micros = 3_000_000;
-const STOPS_MORE: Micros = 500_000;
-/// So long before that nothing more is taken: most commands take far less. Not sooner than new connections have ceased
-/// to come, up to 0.4 s after SIGTERM.
-const TAKES_NONE: Micros = 1_000_000;
-const LISTEN_ON: Micros = 600_000;
+/// How long a new process holds its first commands for discovery's list, which comes at once in normal operation.
+pub(super) const FIRST_LIST_WAIT: Micros = 200_000;
+/// Delay until the list of the configuration is used if no other arrives: everything discovery has counts as notified
+/// from the start. A watch that fell silent at the start would count as notified by then too, so this process knows no
+/// less than those that kept running.
+const CONFIGURED_LIST_DELAY: Micros = 6_000_000;
+/// SIGKILL follows SIGTERM after the longest client timeout, or this if it is longer, plus a margin; all accepted
+/// commands must be answered before.
+const MIN_STOP_TIME: Micros = 3_000_000;
+const STOP_MARGIN: Micros = 500_000;
+/// No commands are accepted in this time before that; most take far less. New connections may arrive until 0.4 s after
+/// SIGTERM, so the listener stays open for at least this long.
+const NO_NEW_COMMANDS: Micros = 1_000_000;
+const KEEP_LISTENING: Micros = 600_000;
 
 impl Gateway {
-    /// Until when the loop may sleep.
+    /// Until when the event loop may sleep.
     pub fn next_due(&self) -> Micros {
-        if !self.resume.is_empty() || self.queue_more {
+        if !self.turns.is_empty() || self.accept_more {
             return 0;
         }
-        let holds = self.holds.as_ref().map(|holds| holds.handover.next_due());
-        let company = self.company.as_ref().map(Company::next);
+        let holds = self.handover.as_ref().map(|holds| holds.handover.next_due());
+        let company = self.membership.as_ref().map(Membership::next);
         let due = [self.commands.next_due(), self.due.next_due(), holds, company];
         due.into_iter().flatten().fold(self.router_due, Micros::min)
     }
 
-    /// Does all that was due at `until`, a time before the last look at the sockets: after a pause of the whole
-    /// process, what had come in meanwhile has then been read before anything is timed out.
-    pub fn settle(&mut self, until: Micros) {
-        for _ in 0..self.resume.len() {
-            if let Some(key) = self.resume.pop_front() {
+    /// Handles everything due at `until`, a time before the sockets were last read. After a pause of the process,
+    /// data that arrived meanwhile is thus handled before anything times out.
+    pub fn run_due(&mut self, until: Micros) {
+        for _ in 0..self.turns.len() {
+            if let Some(key) = self.turns.pop_front() {
                 self.serve_client(key);
             }
         }
         loop {
             if let Some(command) = self.commands.take_due(until) {
-                self.ask(command);
+                self.place(command);
             } else if let Some((at, due)) = self.due.pop_due(until) {
-                self.fell_due(at, due);
+                self.on_timer(at, due);
             } else {
                 break;
             }
         }
-        self.settle_holds();
-        self.settle_company();
-        self.part_with_resting();
-        // Guards against a listen queue that is left unserved once any connection has given its descriptor back.
-        if self.queue_waits || self.queue_more {
+        self.run_handover();
+        self.run_membership();
+        self.close_idle_clients();
+        // The listen queue must be served again once any connection has freed its descriptor.
+        if self.accept_blocked || self.accept_more {
             self.accept();
         }
         let now = self.clock.now();
@@ -66,31 +65,31 @@
             let wait = self.router.next_check(now, None);
             self.router_due = now + wait.after.max(1);
             for server in wait.probes {
-                if let Some(ending) = self.instead_of_probe(now, server) {
+                if let Some(ending) = self.probe_replacement(now, server) {
                     self.router.on_probe_result(now, server, 0, ending, None);
                     continue;
                 }
                 let due = now + self.deployment.connect_within;
-                if let Err(ending) = self.begin(server, Job::Probe, now, due) {
-                    self.job_ended(server, Job::Probe, ending, Said::default(), None);
+                if let Err(ending) = self.start_job(server, Job::Probe, now, due) {
+                    self.job_ended(server, Job::Probe, ending, ServerAnswer::default(), None);
                 }
             }
         }
     }
 
-    pub(super) fn fell_due(&mut self, at: Micros, due: Due) {
+    pub(super) fn on_timer(&mut self, at: Micros, due: Due) {
         match due {
             Due::Client(key) => {
                 let Some(client) = self.clients.get(key) else { return };
                 if !client.limit.expire(&mut self.due, Due::Client(key), at) {
                     return;
                 }
-                // Where something waits to be read, a last word would not be read either.
+                // If data waits to be read, a final message would not be read either.
                 let over = client.is_closing() || !client.outbox.is_empty();
                 if over || matches!(client.refuse("08P01", "it did not come in whole in time"), Next::Close) {
                     self.close_client(key);
                 }
-                self.mind(key);
+                self.update_client_timeout(key);
             }
             Due::Line(key) => {
                 let Some(line) = self.servers.get(key) else { return };
@@ -98,39 +97,38 @@
                     return;
                 }
                 if line.job.is_some() {
-                    self.end_line(key, DispatchEnd::TimedOut);
+                    self.end_connection(key, DispatchEnd::TimedOut);
                 } else {
-                    self.close_line(key);
+                    self.close_connection(key);
                 }
             }
-            Due::Control(key) => self.control_late(key, at),
-            Due::Council => self.council_beat(at),
+            Due::Control(key) => self.control_timeout(key, at),
+            Due::Council => self.consensus_timer(at),
             Due::Discovery => {
                 if self.watch.due.expire(&mut self.due, Due::Discovery, at) {
                     self.discovery_due(at);
                 }
             }
             Due::Known if self.ready => {}
-            Due::Known if !std::mem::replace(&mut self.takes, true) => {
-                self.due.add(at + KNOWN_AFTER - LIST_COMES, Due::Known);
-                self.resume.extend(self.clients.keys());
+            Due::Known if !std::mem::replace(&mut self.accepts_commands, true) => {
+                self.due.add(at + CONFIGURED_LIST_DELAY - FIRST_LIST_WAIT, Due::Known);
+                self.turns.extend(self.clients.keys());
             }
             Due::Known => {
                 if let Some(known) = self.deployment.known.take() {
-                    warn!(target: "discovery", "no list came: the configuration's serves until one does");
-                    // Discovery may number its lists otherwise: the whole one is still asked for.
-                    self.listed(known);
+                    warn!(target: "discovery", "no server list received: using the list of the configuration");
+                    // Discovery may number its lists differently, so the whole list is still requested.
+                    self.apply_server_list(known);
                 }
             }
             Due::Listener => {
                 self.accept();
                 self.listener = None;
-                let stops = self.stops.unwrap_or(at);
+                let stops = self.stop_deadline.unwrap_or(at);
                 for key in self.clients.keys() {
-                    self.part_with(key);
-                    self.mind(key);
-                    // Guards against half a message, or an answer left unread, that began before and has
-                    // longer than this process.
+                    self.close_for_shutdown(key);
+                    self.update_client_timeout(key);
+                    // Incomplete messages and unread answers may have timeouts beyond the end of this process.
                     if let Some(client) = self.clients.get(key) {
                         client.limit.bring_forward(&mut self.due, Due::Client(key), stops);
                     }
@@ -139,53 +137,52 @@
         }
     }
 
-    /// SIGTERM: connections still come for a while, and clients use those that are open, perhaps for want of another
-    /// gateway. All is served as long as it can still be answered in time; then the listener and idle connections are
-    /// closed, and what has been taken is brought to its end.
+    /// Handles SIGTERM. Connections still arrive for a while, and clients use open ones. All commands that can be
+    /// answered in time are served; then the listener and idle connections are closed and accepted commands are
+    /// completed.
     pub fn stop(&mut self) {
-        if self.stops.is_none() {
+        if self.stop_deadline.is_none() {
             let now = self.clock.now();
-            let most = self.deployment.longest_wait.min(STOPS_WITHIN) + STOPS_MORE;
+            let most = self.deployment.longest_wait.min(MIN_STOP_TIME) + STOP_MARGIN;
             let stops = now + most;
-            self.stops = Some(stops);
-            self.leave_company(now);
-            self.leave_council();
-            // Guards against commands in hand whose clients wait for longer than this process lasts: they get an
-            // answer too, and may ask another gateway.
+            self.stop_deadline = Some(stops);
+            self.leave_membership(now);
+            self.leave_consensus();
+            // Clients may wait for longer than this process lasts: they get an answer too, and may ask another gateway.
             self.commands.limit_timeouts(stops);
-            if let Some(holds) = &mut self.holds {
+            if let Some(holds) = &mut self.handover {
                 holds.handover.limit_hold_time(now, stops);
             }
-            for key in self.servers.hasten(stops) {
+            for key in self.servers.limit_timeouts(stops) {
                 if let Some(line) = self.servers.get(key) {
                     line.due.bring_forward(&mut self.due, Due::Line(key), stops);
                 }
             }
-            self.due.add(now + most.saturating_sub(TAKES_NONE).max(LISTEN_ON), Due::Listener);
+            self.due.add(now + most.saturating_sub(NO_NEW_COMMANDS).max(KEEP_LISTENING), Due::Listener);
         }
     }
 
-    /// SIGHUP: the configuration was read anew. What can change without a loss is taken up, at once; all else counts
-    /// from the next start.
+    /// Handles SIGHUP with the configuration read again. Settings that can change without loss take effect at once, all
+    /// others at the next start.
     pub fn reload(&mut self, read: Result<Deployment, String>) {
         let new = match read {
             Ok(new) => new,
             Err(message) => {
-                error!(target: "start", "the configuration stays as it was: {message}");
+                error!(target: "start", "the configuration was not reloaded: {message}");
                 return;
             }
         };
         self.deployment.sockets = new.sockets;
-        self.rekey_company();
-        self.rekey_council();
+        self.reload_membership_keys();
+        self.reload_consensus_keys();
         if new.discovery != self.deployment.discovery {
-            info!(target: "start", "discovery is at {} from now on", new.discovery);
+            info!(target: "start", "using discovery at {}", new.discovery);
             self.deployment.discovery = new.discovery;
         }
-        self.discovery_anew();
+        self.reconnect_discovery();
     }
 
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.listener.is_none() && self.clients.count() == 0
     }
 }
--- a/crates/gateway/src/gateway/holds.rs
+++ b/crates/gateway/src/gateway/holds.rs
@@ -1,5 +1,4 @@
-//! Where writes meet the holds: what the gateway hears becomes notices, and what is due is released or answered.
-//! Nothing is decided here.
+//! Connects the gateway to the handover: reports events to it, and releases or answers held writes. Makes no decisions.
 
 use tansyjunction::interface::*;
 use tansyjunction_handover::{Admission, Handover, HandoverConfig, Write};
@@ -8,16 +7,16 @@
 
 use super::Gateway;
 use crate::run::deployment::Deployment;
-use crate::wire::server::{Job, Said};
+use crate::wire::server::{Job, ServerAnswer};
 
-/// The holds of this gateway.
-pub struct Holds {
+/// The handover of this gateway.
+pub struct WriteHolding {
     pub handover: Handover,
 }
 
-impl Holds {
-    /// None where the settings leave them off.
-    pub fn new(deployment: &Deployment, program: &Program) -> Option<Holds> {
+impl WriteHolding {
+    /// `None` if the settings disable it.
+    pub fn new(deployment: &Deployment, program: &Program) -> Option<WriteHolding> {
         let set = &program.handover;
         if !set.enabled {
             return None;
@@ -40,14 +39,14 @@
             claim_lifetime: set.doubt_for,
             ..HandoverConfig::default()
         };
-        Some(Holds { handover: Handover::new(figures, deployment.seed) })
+        Some(WriteHolding { handover: Handover::new(figures, deployment.seed) })
     }
 }
 
 impl Gateway {
-    /// The write that a command is to the holds; None: they do not mind it.
+    /// The handover's view of a command; `None` if it is not a write.
     fn as_write(&self, command: u64) -> Option<Write> {
-        self.holds.as_ref()?;
+        self.handover.as_ref()?;
         let held = self.commands.get(command)?;
         let Command { command_group, group, session, arrived, client_timeout, .. } = held.command;
         let kind = &self.deployment.command_groups[command_group];
@@ -58,19 +57,19 @@
         let (within, keyed) = (kind.repeat_within, kind.repeat_within > 0);
         let repeat_until = ran.map(|first| if keyed { first.sent + within } else { 0 });
         let client = self.clients.client_of(command)?;
-        let bytes = self.clients.see(client)?.in_hand.as_ref()?.length;
+        let bytes = self.clients.peek(client)?.in_hand.as_ref()?.length;
         let (id, shard) = (command, group);
         Some(Write { id, shard, client, session, bytes, arrived, client_timeout, keyed, repeat_until })
     }
 
-    /// Whether a command may go to the router now. One that is held may not; one that can't be held is answered.
-    pub(super) fn admitted(&mut self, now: Micros, command: u64) -> bool {
+    /// Whether a command may go to the router now. Holds it, or answers it if it cannot be held.
+    pub(super) fn handover_admits(&mut self, now: Micros, command: u64) -> bool {
         let out = |held: &PendingCommand| held.dispatches.iter().any(|d| d.ended.is_none());
-        if self.holds.is_none() || self.commands.get(command).is_none_or(out) {
+        if self.handover.is_none() || self.commands.get(command).is_none_or(out) {
             return true;
         }
         let Some(write) = self.as_write(command) else { return true };
-        let Some(holds) = &mut self.holds else { return true };
+        let Some(holds) = &mut self.handover else { return true };
         if holds.handover.is_held(command) {
             return false;
         }
@@ -96,34 +95,34 @@
         self.answer_finally(command, last);
     }
 
-    /// Whether a write may go to the server that the router named.
-    pub(super) fn may_go(&mut self, command: u64, server: usize) -> bool {
+    /// Whether a write may go to the server that the router chose.
+    pub(super) fn handover_allows(&mut self, command: u64, server: usize) -> bool {
         let Some(write) = self.as_write(command) else { return true };
-        let Some(holds) = &mut self.holds else { return true };
+        let Some(holds) = &mut self.handover else { return true };
         holds.handover.may_write_to(write.shard, server, command)
     }
 
-    pub(super) fn no_longer_held(&mut self, command: u64) {
+    pub(super) fn handover_forget(&mut self, command: u64) {
         let now = self.clock.now();
-        if let Some(holds) = &mut self.holds {
+        if let Some(holds) = &mut self.handover {
             holds.handover.on_write_finished(now, command);
         }
     }
 
-    /// What the end of a dispatch tells of its server's role.
-    pub(super) fn heard_of_role(
+    /// Reports the end of a dispatch as evidence of its server's role.
+    pub(super) fn observe_role(
         &mut self,
         now: Micros,
         command: u64,
         dispatch: usize,
         ending: DispatchEnd,
-        said: &Said,
+        said: &ServerAnswer,
     ) {
-        let Some(held) = self.commands.get(command).filter(|_| self.holds.is_some()) else { return };
+        let Some(held) = self.commands.get(command).filter(|_| self.handover.is_some()) else { return };
         let (shard, kind) = (held.command.group, held.command.command_group);
         let Some(server) = held.dispatches.get(dispatch).map(|d| d.server) else { return };
         let write = self.deployment.command_groups[kind].primary;
-        let Some(holds) = &mut self.holds else { return };
+        let Some(holds) = &mut self.handover else { return };
         let (stated, handover) = (said.stated, &mut holds.handover);
         match ending {
             DispatchEnd::Answered if write => {
@@ -134,12 +133,12 @@
                 handover.on_failure(now, shard, server);
             }
             DispatchEnd::Unsent | DispatchEnd::Recalled => {}
-            _ => self.told_role(now, shard, server, stated),
+            _ => self.report_role(now, shard, server, stated),
         }
     }
 
-    fn told_role(&mut self, now: Micros, shard: usize, server: usize, report: Report) {
-        let Some(holds) = &mut self.holds else { return };
+    fn report_role(&mut self, now: Micros, shard: usize, server: usize, report: Report) {
+        let Some(holds) = &mut self.handover else { return };
         match report.primary {
             Some(true) => holds.handover.on_primary_claim(now, shard, server, report.position),
             Some(false) => holds.handover.on_primary_denial(now, shard, server, report.position),
@@ -147,7 +146,7 @@
         }
     }
 
-    pub(super) fn heard_by_probe(
+    pub(super) fn observe_role_by_probe(
         &mut self,
         now: Micros,
         server: usize,
@@ -155,25 +154,25 @@
         report: Option<Report>,
         stated: Report,
     ) {
-        let Some(shard) = self.servers.shard(server).filter(|_| self.holds.is_some()) else { return };
-        if let Some(holds) = &mut self.holds
+        let Some(shard) = self.servers.shard(server).filter(|_| self.handover.is_some()) else { return };
+        if let Some(holds) = &mut self.handover
             && matches!(ending, DispatchEnd::Unconnected | DispatchEnd::Reset | DispatchEnd::TimedOut)
         {
             holds.handover.on_failure(now, shard, server);
             return;
         }
-        // What the answer itself states is newer than the report in it.
+        // The state in the answer itself is newer than the load report.
         let newest = if stated.primary.is_some() { Some(stated) } else { report };
         if let Some(report) = newest {
-            self.told_role(now, shard, server, report);
+            self.report_role(now, shard, server, report);
         }
     }
 
-    pub(super) fn list_tells(&mut self, now: Micros, entries: &[ServerListEntry]) {
-        let gone_binds = self.deployment.gone_binds;
+    pub(super) fn handover_on_list(&mut self, now: Micros, entries: &[ServerListEntry]) {
+        let gone_binds = self.deployment.removal_is_final;
         for entry in entries {
-            self.servers.in_shard(entry.server, entry.group);
-            let Some(holds) = &mut self.holds else { continue };
+            self.servers.set_shard(entry.server, entry.group);
+            let Some(holds) = &mut self.handover else { continue };
             let leaving = match entry.state {
                 ServerState::Serving => false,
                 ServerState::Draining => true,
@@ -183,16 +182,17 @@
         }
     }
 
-    /// Releases and answers what is due.
-    pub(super) fn settle_holds(&mut self) {
+    /// Releases and answers writes that are due.
+    pub(super) fn run_handover(&mut self) {
         let now = self.clock.now();
-        // What is released may end at once and make more due; a few rounds are enough, the rest has the next turn.
+        // Released writes may end at once and make others due; after a few rounds the rest waits for the next
+        // iteration.
         for _ in 0..4 {
-            let Some(holds) = self.holds.as_mut().filter(|h| h.handover.next_due() <= now) else { return };
+            let Some(holds) = self.handover.as_mut().filter(|h| h.handover.next_due() <= now) else { return };
             let due = holds.handover.due(now);
-            self.log_turns(&due.changed_shards);
+            self.log_phases(&due.changed_shards);
             if !due.changed_shards.is_empty() {
-                self.turned_council();
+                self.consensus_on_phase();
             }
             for (command, come_back) in due.give_up {
                 let last = come_back.map_or(FinalAnswer::Failed, |come_back| FinalAnswer::Throttled {
@@ -202,32 +202,33 @@
             }
             for server in due.probe {
                 let until = now + self.deployment.connect_within;
-                if let Err(ending) = self.begin(server, Job::Probe, now, until) {
-                    self.job_ended(server, Job::Probe, ending, Said::default(), None);
+                if let Err(ending) = self.start_job(server, Job::Probe, now, until) {
+                    self.job_ended(server, Job::Probe, ending, ServerAnswer::default(), None);
                 }
             }
             for command in due.cancel {
-                self.call_off(command);
+                self.cancel_dispatches(command);
             }
             for command in due.release {
-                // Guards against throttling at once what has waited here and finds no room there at first.
+                // Restarts the hold time at the router, so that a released write that finds no capacity is not
+                // throttled at once.
                 self.commands.set_arrival(command, now);
-                self.ask_router(now, command);
+                self.place_with_router(now, command);
             }
         }
     }
 
-    /// Calls off what is out of a command, where the settings let dispatches be called off.
-    fn call_off(&mut self, command: u64) {
-        let Some(held) = self.commands.get(command).filter(|_| self.deployment.recalls) else { return };
+    /// Cancels the dispatches of a command, if the settings allow it.
+    fn cancel_dispatches(&mut self, command: u64) {
+        let Some(held) = self.commands.get(command).filter(|_| self.deployment.may_cancel) else { return };
         let out = held.dispatches.iter().enumerate().filter(|(_, d)| d.ended.is_none());
         for dispatch in out.map(|(place, _)| place).collect::<Vec<_>>() {
-            self.recall(command, dispatch);
+            self.cancel_dispatch(command, dispatch);
         }
     }
 
-    fn log_turns(&self, turned: &[usize]) {
-        let Some(holds) = self.holds.as_ref().filter(|_| !turned.is_empty()) else { return };
+    fn log_phases(&self, turned: &[usize]) {
+        let Some(holds) = self.handover.as_ref().filter(|_| !turned.is_empty()) else { return };
         for status in holds.handover.all_status().iter().filter(|status| turned.contains(&status.shard)) {
             let shard = self.groups.name(status.shard);
             let primary = status.primary.map_or("nobody", |server| self.servers_named.name(server));
--- a/crates/gateway/src/gateway/scout.rs
+++ b/crates/gateway/src/gateway/scout.rs
@@ -1,4 +1,4 @@
-//! Where probes that the router asks for meet the scout's word, and are counted. Nothing is decided here.
+//! Replaces probes requested by the router with the results of the probing duty's holder. Makes no decisions.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,33 +8,40 @@
 use tansyjunction_hosting::NameNumbers;
 
 use super::Gateway;
-use crate::council::Scouted;
+use crate::council::GroupProbes;
 
-/// What this gateway does of the probes.
-pub struct Scouting {
+/// Probes of this gateway.
+pub struct SharedProbing {
     scout: ProbeDelegation,
-    /// By group, how many were done here, and spared.
-    done: BTreeMap<usize, (u64, u64)>,
-    /// Servers to which a probe is out, with their groups.
-    out: BTreeSet<(usize, usize)>,
+    /// Numbers of probes sent and spared, by group.
+    counts: BTreeMap<usize, (u64, u64)>,
+    /// Servers with a probe in flight, with their groups.
+    in_flight: BTreeSet<(usize, usize)>,
 }
 
-impl Scouting {
+impl SharedProbing {
     pub fn new(word_most: Micros) -> Self {
-        Scouting { scout: ProbeDelegation::new(word_most), done: BTreeMap::new(), out: BTreeSet::new() }
+        SharedProbing {
+            scout: ProbeDelegation::new(word_most),
+            counts: BTreeMap::new(),
+            in_flight: BTreeSet::new(),
+        }
     }
 
-    /// By groups' names.
-    pub fn done(&self, groups: &NameNumbers) -> BTreeMap<String, Scouted> {
-        let told = self.done.iter().map(|(group, (probes, spared))| {
-            let waits = self.out.iter().any(|(of, _)| of == group);
-            (groups.name(*group).to_string(), Scouted { probes: *probes, spared: *spared, waits })
+    /// Counts by group name.
+    pub fn done(&self, groups: &NameNumbers) -> BTreeMap<String, GroupProbes> {
+        let told = self.counts.iter().map(|(group, (probes, spared))| {
+            let waits = self.in_flight.iter().any(|(of, _)| of == group);
+            (
+                groups.name(*group).to_string(),
+                GroupProbes { probes: *probes, spared: *spared, in_flight: waits },
+            )
         });
         told.collect()
     }
 }
 
-fn heard((fact, age): (Fact, Micros)) -> Option<ReportedResult> {
+fn to_result((fact, age): (Fact, Micros)) -> Option<ReportedResult> {
     let found = match fact {
         Fact::Answers => ProbeResult::Answers,
         Fact::Refuses => ProbeResult::Refuses,
@@ -45,13 +52,13 @@
 }
 
 impl Gateway {
-    /// How a probe ended that the scout's word stands in for. None: it is to be sent.
-    pub(super) fn instead_of_probe(&mut self, now: Micros, server: usize) -> Option<DispatchEnd> {
-        let group = self.servers.shard(server).filter(|_| self.scouting.is_some())?;
-        let scout = self.scout_of(self.groups.name(group));
-        let (company, scouting) = (self.company.as_ref()?, self.scouting.as_mut()?);
+    /// The result that replaces a probe; `None` if it must be sent.
+    pub(super) fn probe_replacement(&mut self, now: Micros, server: usize) -> Option<DispatchEnd> {
+        let group = self.servers.shard(server).filter(|_| self.probing.is_some())?;
+        let scout = self.probing_holder(self.groups.name(group));
+        let (company, scouting) = (self.membership.as_ref()?, self.probing.as_mut()?);
         let (me, name) = (self.deployment.name.as_str(), self.servers_named.name(server));
-        let said = |by: &str| company.reach(now, by, name).and_then(heard);
+        let said = |by: &str| company.last_observation(now, by, name).and_then(to_result);
         let own = said(me);
         let bad = own.is_some_and(|own| own.result != ProbeResult::Answers);
         let known = ProbeContext {
@@ -59,10 +66,10 @@
             holder: scout.as_deref(),
             own_result: own,
             reported: scout.as_deref().and_then(said),
-            // Looks through all evidence, so not where it is of no use.
-            holder_doubted: bad && scout.as_deref().is_some_and(|scout| company.doubts(scout)),
+            // Searches all evidence, so only evaluated if needed.
+            holder_doubted: bad && scout.as_deref().is_some_and(|scout| company.accuses_most(scout)),
         };
-        let counts = scouting.done.entry(group).or_default();
+        let counts = scouting.counts.entry(group).or_default();
         match scouting.scout.replacement(now, server, &known) {
             Some(found) => {
                 counts.1 += 1;
@@ -73,24 +80,24 @@
                 })
             }
             None => {
-                scouting.out.insert((group, server));
+                scouting.in_flight.insert((group, server));
                 None
             }
         }
     }
 
-    /// A probe that was sent has ended.
-    pub(super) fn scout_probed(&mut self, server: usize) {
-        let Some(scouting) = &mut self.scouting else { return };
-        let Some(out) = scouting.out.iter().find(|(_, of)| *of == server).copied() else { return };
-        scouting.out.remove(&out);
-        scouting.done.entry(out.0).or_default().0 += 1;
+    /// Records the end of a probe.
+    pub(super) fn on_shared_probe_ended(&mut self, server: usize) {
+        let Some(scouting) = &mut self.probing else { return };
+        let Some(out) = scouting.in_flight.iter().find(|(_, of)| *of == server).copied() else { return };
+        scouting.in_flight.remove(&out);
+        scouting.counts.entry(out.0).or_default().0 += 1;
     }
 
-    /// Whether this gateway is the scout of a server's group.
-    pub(super) fn scouts(&self, server: usize) -> bool {
-        let group = self.servers.shard(server).filter(|_| self.scouting.is_some());
-        let scout = group.and_then(|group| self.scout_of(self.groups.name(group)));
+    /// Whether this gateway holds the probing duty of a server's group.
+    pub(super) fn holds_probing_duty(&self, server: usize) -> bool {
+        let group = self.servers.shard(server).filter(|_| self.probing.is_some());
+        let scout = group.and_then(|group| self.probing_holder(self.groups.name(group)));
         scout.is_some_and(|scout| scout == self.deployment.name)
     }
 }
--- a/crates/gateway/src/gateway/steps.rs
+++ b/crates/gateway/src/gateway/steps.rs
@@ -1,5 +1,5 @@
-//! Each step of each command as a line of the log, part `commands` at debug, for `tansyjunction account`. Off, as it is
-//! unless the settings ask for it, nothing of this costs more than a look at a flag.
+//! Logs each step of each command, target `commands` at level debug, for `tansyjunction account`. While disabled,
+//! which is the default, it costs only the check of a flag.
 
 use tansyjunction::interface::*;
 use tracing::debug;
@@ -7,13 +7,13 @@
 use super::Gateway;
 use crate::wire::server::Job;
 
-/// Whether the log wants them; read once, at the start.
-pub fn wanted() -> bool {
+/// Whether the log level enables it; read once at the start.
+pub fn is_enabled() -> bool {
     tracing::enabled!(target: "commands", tracing::Level::DEBUG)
 }
 
-/// A number for each lack, with what tells a cold member and a primary: `primary:Room cold:Warmth Freshness`.
-fn in_words(lacking: &[MemberDiagnosis]) -> String {
+/// Describes the diagnosis of each member, for example `primary:Room cold:Warmth Freshness`.
+fn describe(lacking: &[MemberDiagnosis]) -> String {
     let word = |one: &MemberDiagnosis| {
         let cold = if one.cold { "cold:" } else { "" };
         format!("{}{cold}{:?}", if one.primary { "primary:" } else { "" }, one.missing)
@@ -26,7 +26,7 @@
 
 impl Gateway {
     pub(super) fn step_taken(&self, command: u64) {
-        let Some(held) = self.commands.get(command).filter(|_| self.steps) else { return };
+        let Some(held) = self.commands.get(command).filter(|_| self.log_steps) else { return };
         let Some(in_hand) = self.in_hand(command) else { return };
         let (cmd, kind) = (&held.command, &self.deployment.command_groups[held.command.command_group]);
         let (wait, target) = (cmd.client_timeout.saturating_sub(cmd.arrived), kind.response_target);
@@ -35,18 +35,18 @@
 
     fn in_hand(&self, command: u64) -> Option<String> {
         let client = self.clients.client_of(command)?;
-        Some(self.clients.see(client)?.in_hand.as_ref()?.id.clone())
+        Some(self.clients.peek(client)?.in_hand.as_ref()?.id.clone())
     }
 
-    /// Keeps what the members lack as the router is asked, in case it gives the command up or sends it on.
+    /// Records the diagnosis of the members before a command is placed, in case it is abandoned or dispatched.
     pub(super) fn step_asked(&mut self, now: Micros, command: u64) {
-        let Some(held) = self.commands.get(command).filter(|_| self.steps) else { return };
+        let Some(held) = self.commands.get(command).filter(|_| self.log_steps) else { return };
         self.lacking = self.router.lacks(now, held);
     }
 
     pub(super) fn step_placed(&self, command: u64, place: &Placement) {
         let Placement::Dispatch { server, .. } = place else { return };
-        if !self.steps {
+        if !self.log_steps {
             return;
         }
         let found = self.lacking.iter().find(|one| one.server == *server);
@@ -55,37 +55,37 @@
         debug!(target: "commands", step = "sent", command, at, server = name, primary, cold);
     }
 
-    /// A connection was opened, for a command or for a probe.
+    /// Logs a new connection for a command or a probe.
     pub(super) fn step_opened(&self, server: usize, job: &Job) {
-        if self.steps {
+        if self.log_steps {
             let (at, server, probe) = (self.clock.now(), self.servers_named.name(server), *job == Job::Probe);
             debug!(target: "commands", step = "opened", at, server, probe);
         }
     }
 
     pub(super) fn step_ended(&self, at: Micros, command: u64, dispatch: usize, ending: DispatchEnd) {
-        if self.steps {
+        if self.log_steps {
             debug!(target: "commands", step = "ended", command, at, dispatch, ending = ?ending);
         }
     }
 
     pub(super) fn step_given_up(&self, command: u64, last: FinalAnswer) {
-        if self.steps {
+        if self.log_steps {
             let what = if last == FinalAnswer::Failed { "failed" } else { "throttled" };
-            let (at, lacks) = (self.clock.now(), in_words(&self.lacking));
+            let (at, lacks) = (self.clock.now(), describe(&self.lacking));
             debug!(target: "commands", step = "over", command, at, what, lacks);
         }
     }
 
-    /// Its client has an answer; one that was given up has had its line.
+    /// Logs the answer to a command; abandoned commands are logged elsewhere.
     pub(super) fn step_over(&self, at: Micros, command: u64) {
-        if self.steps {
+        if self.log_steps {
             debug!(target: "commands", step = "over", command, at, what = "answered");
         }
     }
 
     pub(super) fn step_left(&self, command: u64) {
-        if self.steps {
+        if self.log_steps {
             debug!(target: "commands", step = "over", command, at = self.clock.now(), what = "left");
         }
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,8 @@
-//! The gateway: it speaks PostgreSQL's protocol to clients and servers and asks a router where each command goes.
+//! The gateway: speaks PostgreSQL's protocol to clients and database servers and asks a router where to send each
+//! command.
 //!
-//! [`serve`] runs it on the calling thread; [`Deployment`] is the configuration that it reads. It logs through
-//! `tracing`, each part of it under a target of its own: start, clients, servers, discovery, limits, commands,
-//! fellows, council.
+//! [`serve`] runs it on the calling thread with the configuration [`Deployment`]. It logs through `tracing` with a
+//! target per part: start, clients, servers, discovery, limits, commands, fellows, council.
 
 mod council;
 mod gateway;
--- a/crates/gateway/src/memory/clients.rs
+++ b/crates/gateway/src/memory/clients.rs
@@ -1,4 +1,4 @@
-//! The clients' connections and the commands that they wait for. This is where a client's socket is given back.
+//! Client connections and the commands that they wait for. Owns the clients' sockets.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,112 +6,118 @@
 
 use crate::wire::client::{Client, InHand};
 
+/// All client connections by number.
 #[derive(Default)]
 pub struct Clients {
     connections: BTreeMap<u64, Client>,
-    /// Which connection waits for a command.
+    /// Connection that waits for each command.
     waiting: BTreeMap<u64, u64>,
-    /// The `id` of each command in hand.
+    /// The `id` of each pending command.
     ids: BTreeSet<String>,
-    /// Connections whose startup is not over, by when they came.
+    /// Connections that have not finished their startup, by arrival time.
     silent: BTreeSet<(Micros, u64)>,
-    /// Others without a command in hand, by when they last had one or came.
+    /// Other connections without a command, by the time of their last one or of their arrival.
     resting: BTreeSet<(Micros, u64)>,
-    /// Connections that were ended here and wait for the other side's end, by when they were.
+    /// Connections shut down here that wait for the client's end, by the time of the shutdown.
     closing: BTreeSet<(Micros, u64)>,
 }
 
 impl Clients {
+    /// Adds a new connection.
     pub fn add(&mut self, key: u64, client: Client) {
-        self.silent.insert((client.used, key));
+        self.silent.insert((client.last_used, key));
         self.connections.insert(key, client);
     }
 
-    /// The startup of a connection is over.
+    /// Records that a connection has finished its startup.
     pub fn opened(&mut self, key: u64) {
         let Some(client) = self.connections.get(&key) else { return };
-        if self.silent.remove(&(client.used, key)) {
-            self.resting.insert((client.used, key));
+        if self.silent.remove(&(client.last_used, key)) {
+            self.resting.insert((client.last_used, key));
         }
     }
 
-    /// A connection was ended here. Guards against one that only waits for the other side's end and is taken for one
-    /// that rests.
-    pub fn closes(&mut self, key: u64, now: Micros) {
+    /// Records that a connection was shut down here, so that it no longer counts as idle.
+    pub fn mark_closing(&mut self, key: u64, now: Micros) {
         let Some(client) = self.connections.get_mut(&key) else { return };
-        let at = (client.used, key);
+        let at = (client.last_used, key);
         if !self.closing.contains(&at) {
             self.silent.remove(&at);
             self.resting.remove(&at);
-            client.used = now;
+            client.last_used = now;
             self.closing.insert((now, key));
         }
     }
 
-    /// Connections whose startup is over and that were not ended here.
-    pub fn open(&self) -> usize {
+    /// Number of connections that have finished their startup and were not shut down.
+    pub fn open_count(&self) -> usize {
         self.connections.len() - self.silent.len() - self.closing.len()
     }
 
-    /// The connection that came first of those whose startup has not come in whole, and not since `before`.
-    pub fn most_silent(&self, before: Micros) -> Option<u64> {
+    /// The oldest connection without a complete startup that arrived before `before`.
+    pub fn oldest_without_startup(&self, before: Micros) -> Option<u64> {
         let mut silent = self.silent.range(..=(before, u64::MAX)).map(|(_, key)| *key);
-        silent.find(|key| self.connections.get(key).is_some_and(Client::is_silent))
+        silent.find(|key| self.connections.get(key).is_some_and(Client::lacks_startup))
     }
 
-    /// The connection that was ended here first, not since `before`, and has its last answer.
+    /// The connection shut down first, before `before`, that has been sent its last answer.
     pub fn longest_closing(&self, before: Micros) -> Option<u64> {
         let mut closing = self.closing.range(..=(before, u64::MAX)).map(|(_, key)| *key);
         closing.find(|key| self.connections.get(key).is_some_and(Client::is_idle))
     }
 
+    /// Mutable access to a connection.
     pub fn get(&mut self, key: u64) -> Option<&mut Client> {
         self.connections.get_mut(&key)
     }
 
-    pub fn see(&self, key: u64) -> Option<&Client> {
+    /// Shared access to a connection.
+    pub fn peek(&self, key: u64) -> Option<&Client> {
         self.connections.get(&key)
     }
 
+    /// Number of connections.
     pub fn count(&self) -> usize {
         self.connections.len()
     }
 
+    /// Numbers of all connections.
     pub fn keys(&self) -> Vec<u64> {
         self.connections.keys().copied().collect()
     }
 
-    /// Whether a command of this `id` is in hand.
-    pub fn has(&self, id: &str) -> bool {
+    /// Whether a command with this `id` is pending.
+    pub fn has_command_id(&self, id: &str) -> bool {
         self.ids.contains(id)
     }
 
-    /// How much memory the inboxes hold.
-    pub fn kept(&self) -> usize {
-        self.connections.values().map(|client| client.inbox.kept()).sum()
+    /// Memory used by all inboxes in bytes.
+    pub fn inbox_bytes(&self) -> usize {
+        self.connections.values().map(|client| client.inbox.memory()).sum()
     }
 
-    pub fn waits(&mut self, key: u64, in_hand: InHand) {
+    /// Records that a connection waits for a command.
+    pub fn set_pending(&mut self, key: u64, in_hand: InHand) {
         let Some(client) = self.connections.get_mut(&key) else { return };
-        self.resting.remove(&(client.used, key));
+        self.resting.remove(&(client.last_used, key));
         self.ids.insert(in_hand.id.clone());
         self.waiting.insert(in_hand.command, key);
         client.in_hand = Some(in_hand);
     }
 
-    /// The connection that waits for a command, which is answered now.
-    pub fn answering(&mut self, command: u64, now: Micros) -> Option<u64> {
+    /// Ends the wait for a command that is answered now, and returns the connection.
+    pub fn take_pending(&mut self, command: u64, now: Micros) -> Option<u64> {
         let key = self.waiting.remove(&command)?;
         let client = self.connections.get_mut(&key)?;
         if let Some(in_hand) = client.answered() {
             self.ids.remove(&in_hand.id);
         }
-        client.used = now;
+        client.last_used = now;
         self.resting.insert((now, key));
         Some(key)
     }
 
-    /// The number of the connection that waits for a command.
+    /// Number of the connection that waits for a command.
     pub fn client_of(&self, command: u64) -> Option<u64> {
         self.waiting.get(&command).copied()
     }
@@ -122,18 +128,18 @@
         self.connections.get_mut(key)
     }
 
-    /// The idle connection that was used least recently, and not since `before`.
-    pub fn idlest(&self, before: Micros) -> Option<u64> {
+    /// The least recently used idle connection that was last used before `before`.
+    pub fn least_recently_used(&self, before: Micros) -> Option<u64> {
         let rested = self.resting.range(..=(before, u64::MAX)).map(|(_, key)| *key);
         rested.into_iter().find(|key| self.connections.get(key).is_some_and(Client::is_idle))
     }
 
-    /// Gives a connection up, with the command that it waited for.
+    /// Removes a connection, and returns the command that it waited for.
     pub fn remove(&mut self, key: u64) -> Option<(Client, Option<u64>)> {
         let client = self.connections.remove(&key)?;
-        self.silent.remove(&(client.used, key));
-        self.resting.remove(&(client.used, key));
-        self.closing.remove(&(client.used, key));
+        self.silent.remove(&(client.last_used, key));
+        self.resting.remove(&(client.last_used, key));
+        self.closing.remove(&(client.last_used, key));
         let in_hand = client.in_hand.as_ref();
         if let Some(in_hand) = in_hand {
             self.waiting.remove(&in_hand.command);
--- a/crates/gateway/src/memory/mod.rs
+++ b/crates/gateway/src/memory/mod.rs
@@ -1,4 +1,4 @@
-//! What is kept: clients, servers and their connections, sessions.
+//! State in memory: clients, servers and their connections, sessions.
 
 pub mod clients;
 pub mod servers;
--- a/crates/gateway/src/memory/servers.rs
+++ b/crates/gateway/src/memory/servers.rs
@@ -1,49 +1,56 @@
-//! Servers with their addresses, and the connections to them. This is where a server's socket is given back.
+//! Servers with their addresses and connections. Owns the servers' sockets.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 use tansyjunction::interface::Micros;
 
-use crate::wire::server::{Job, Line};
+use crate::wire::server::{Job, ServerConnection};
 
+/// A database server.
 #[derive(Default)]
 struct Server {
     address: Option<SocketAddr>,
     started: Option<Micros>,
-    /// Connections without a job, the most recently used last.
+    /// Idle connections, the most recently used last.
     idle: Vec<u64>,
-    /// How many connections there are.
-    lines: usize,
+    /// Number of connections.
+    connection_count: usize,
     /// Since when it is gone.
-    gone: Option<Micros>,
-    /// Its group, as the list tells.
+    gone_since: Option<Micros>,
+    /// Its group in the server list.
     shard: Option<usize>,
 }
 
-/// A server that is gone is kept so long: far longer than a list that is late may still name it.
+/// Time for which a server that is gone is remembered: far longer than late lists may still name it.
 const FORGET_AFTER: Micros = 30_000_000;
 
+/// All servers and their connections.
 #[derive(Default)]
 pub struct Servers {
     servers: BTreeMap<usize, Server>,
-    /// Those that are gone, the longest first.
+    /// Servers that are gone, the longest first.
     gone: BTreeSet<(Micros, usize)>,
-    lines: BTreeMap<u64, Line>,
-    /// Which connection a dispatch is out on.
-    out: BTreeMap<(u64, usize), u64>,
+    connections: BTreeMap<u64, ServerConnection>,
+    /// Connection of each dispatch in flight.
+    by_dispatch: BTreeMap<(u64, usize), u64>,
 }
 
 impl Servers {
-    /// Takes in where a server listens and when it started; tells which connections are worth nothing now: those that
-    /// are idle, and those that have not brought anything there yet.
-    pub fn known(&mut self, server: usize, address: Option<SocketAddr>, started: Option<Micros>) -> Vec<u64> {
+    /// Updates address and start time of a server. Returns the connections that are now useless: idle ones, and those
+    /// that have not received anything yet.
+    pub fn update(
+        &mut self,
+        server: usize,
+        address: Option<SocketAddr>,
+        started: Option<Micros>,
+    ) -> Vec<u64> {
         let known = self.servers.entry(server).or_default();
         let moved = address.is_some() && known.address.is_some() && known.address != address;
         let restarted = known.started != started;
         known.address = address.or(known.address);
         known.started = started;
-        if let Some(since) = known.gone.take() {
+        if let Some(since) = known.gone_since.take() {
             self.gone.remove(&(since, server));
         }
         if !(moved || restarted) {
@@ -54,81 +61,87 @@
         worthless
     }
 
-    /// A server is gone; tells which idle connections are worth nothing now.
-    pub fn gone(&mut self, server: usize, now: Micros) -> Vec<u64> {
+    /// Marks a server as gone; returns its idle connections, which are now useless.
+    pub fn mark_gone(&mut self, server: usize, now: Micros) -> Vec<u64> {
         let Some(known) = self.servers.get_mut(&server) else { return Vec::new() };
-        let since = *known.gone.get_or_insert(now);
+        let since = *known.gone_since.get_or_insert(now);
         self.gone.insert((since, server));
         known.idle.clone()
     }
 
-    /// Those that are not gone.
-    pub fn there(&self) -> Vec<usize> {
-        let there = self.servers.iter().filter(|(_, known)| known.gone.is_none());
+    /// Servers that are not gone.
+    pub fn present(&self) -> Vec<usize> {
+        let there = self.servers.iter().filter(|(_, known)| known.gone_since.is_none());
         there.map(|(server, _)| *server).collect()
     }
 
-    /// Forgets a server that has been gone for long and has no connection left.
+    /// Removes a server that has been gone for long and has no connection.
     pub fn forget(&mut self, now: Micros) -> Option<usize> {
         let long = self.gone.range(..(now.saturating_sub(FORGET_AFTER), 0));
-        let unused = |server: &usize| self.servers.get(server).is_none_or(|known| known.lines == 0);
+        let unused =
+            |server: &usize| self.servers.get(server).is_none_or(|known| known.connection_count == 0);
         let (since, server) = long.copied().find(|(_, server)| unused(server))?;
         self.gone.remove(&(since, server));
         self.servers.remove(&server);
         Some(server)
     }
 
-    pub fn in_shard(&mut self, server: usize, shard: usize) {
+    /// Sets the group of a server.
+    pub fn set_shard(&mut self, server: usize, shard: usize) {
         if let Some(known) = self.servers.get_mut(&server) {
             known.shard = Some(shard);
         }
     }
 
+    /// The group of a server.
     pub fn shard(&self, server: usize) -> Option<usize> {
         self.servers.get(&server)?.shard
     }
 
+    /// The address of a server.
     pub fn address(&self, server: usize) -> Option<SocketAddr> {
         self.servers.get(&server)?.address
     }
 
-    pub fn add(&mut self, key: u64, line: Line) {
-        self.servers.entry(line.server).or_default().lines += 1;
-        self.lines.insert(key, line);
+    pub fn add(&mut self, key: u64, line: ServerConnection) {
+        self.servers.entry(line.server).or_default().connection_count += 1;
+        self.connections.insert(key, line);
     }
 
-    pub fn get(&mut self, key: u64) -> Option<&mut Line> {
-        self.lines.get_mut(&key)
+    /// Access to a connection.
+    pub fn get(&mut self, key: u64) -> Option<&mut ServerConnection> {
+        self.connections.get_mut(&key)
     }
 
+    /// Number of connections.
     pub fn count(&self) -> usize {
-        self.lines.len()
+        self.connections.len()
     }
 
-    /// Gives a connection its job, and until when it may take; the last one was taken from it.
+    /// Assigns a job to a connection, with its timeout; it must have none.
     pub fn begin(&mut self, key: u64, job: Job, due: Micros) {
-        let Some(line) = self.lines.get_mut(&key) else { return };
+        let Some(line) = self.connections.get_mut(&key) else { return };
         line.job = Some(job);
         line.job_due = due;
-        line.talk.said = Default::default();
+        line.protocol.said = Default::default();
         line.written = None;
         if let Job::Command { command, dispatch } = job {
-            self.out.insert((command, dispatch), key);
+            self.by_dispatch.insert((command, dispatch), key);
         }
     }
 
-    /// Takes its job from a connection.
+    /// Takes the job from a connection.
     pub fn finish(&mut self, key: u64) -> Option<Job> {
-        let job = self.lines.get_mut(&key)?.job.take();
+        let job = self.connections.get_mut(&key)?.job.take();
         if let Some(Job::Command { command, dispatch }) = job {
-            self.out.remove(&(command, dispatch));
+            self.by_dispatch.remove(&(command, dispatch));
         }
         job
     }
 
-    /// No job may take longer than until then; tells which connections are at work on one that might have.
-    pub fn hasten(&mut self, until: Micros) -> Vec<u64> {
-        let late = self.lines.iter_mut().filter(|(_, line)| line.job.is_some() && line.job_due > until);
+    /// Limits the timeout of all jobs; returns the connections whose job had a later one.
+    pub fn limit_timeouts(&mut self, until: Micros) -> Vec<u64> {
+        let late = self.connections.iter_mut().filter(|(_, line)| line.job.is_some() && line.job_due > until);
         late.map(|(key, line)| {
             line.job_due = until;
             *key
@@ -136,23 +149,25 @@
         .collect()
     }
 
-    /// Connections with a dispatch that is not written whole.
-    pub fn unwritten(&self, of: impl Fn(&Line) -> bool) -> Vec<u64> {
-        let command = |line: &Line| matches!(line.job, Some(Job::Command { .. }));
-        let waits = |line: &Line| line.written.is_none() && command(line) && of(line);
-        self.lines.iter().filter(|(_, line)| waits(line)).map(|(key, _)| *key).collect()
+    /// Connections whose statement is not completely written.
+    pub fn unwritten(&self, of: impl Fn(&ServerConnection) -> bool) -> Vec<u64> {
+        let command = |line: &ServerConnection| matches!(line.job, Some(Job::Command { .. }));
+        let waits = |line: &ServerConnection| line.written.is_none() && command(line) && of(line);
+        self.connections.iter().filter(|(_, line)| waits(line)).map(|(key, _)| *key).collect()
     }
 
-    pub fn out(&self, command: u64, dispatch: usize) -> Option<u64> {
-        self.out.get(&(command, dispatch)).copied()
+    /// Connection of a dispatch in flight.
+    pub fn connection_of(&self, command: u64, dispatch: usize) -> Option<u64> {
+        self.by_dispatch.get(&(command, dispatch)).copied()
     }
 
-    pub fn rest(&mut self, key: u64) {
-        let Some(line) = self.lines.get(&key) else { return };
+    /// Makes a connection idle.
+    pub fn set_idle(&mut self, key: u64) {
+        let Some(line) = self.connections.get(&key) else { return };
         self.servers.entry(line.server).or_default().idle.push(key);
     }
 
-    /// An idle connection to a server: the most recently used one, or the least.
+    /// Takes an idle connection to a server: the most recently used one, or the least.
     pub fn take_idle(&mut self, server: usize, most_recent: bool) -> Option<u64> {
         let idle = &mut self.servers.get_mut(&server)?.idle;
         if most_recent {
@@ -164,18 +179,19 @@
         }
     }
 
-    /// The idle connection that was used least recently, whatever its server.
-    pub fn idlest(&self) -> Option<u64> {
+    /// The least recently used idle connection of any server.
+    pub fn least_recently_used(&self) -> Option<u64> {
         let oldest = self.servers.values().filter_map(|server| server.idle.first());
-        oldest.copied().min_by_key(|key| self.lines.get(key).map(|line| line.rested))
+        oldest.copied().min_by_key(|key| self.connections.get(key).map(|line| line.idle_since))
     }
 
-    pub fn remove(&mut self, key: u64) -> Option<Line> {
+    /// Removes a connection.
+    pub fn remove(&mut self, key: u64) -> Option<ServerConnection> {
         self.finish(key);
-        let line = self.lines.remove(&key)?;
+        let line = self.connections.remove(&key)?;
         if let Some(server) = self.servers.get_mut(&line.server) {
             server.idle.retain(|idle| *idle != key);
-            server.lines -= 1;
+            server.connection_count -= 1;
         }
         Some(line)
     }
@@ -190,14 +206,14 @@
         let mut servers = Servers::default();
         let address = "127.0.0.1:9".parse().ok();
         for server in 0..3 {
-            servers.known(server, address, None);
+            servers.update(server, address, None);
         }
-        servers.gone(0, 10);
-        servers.gone(1, 20);
-        servers.gone(0, 30);
-        // It came back.
-        servers.known(1, address, None);
-        assert_eq!((servers.there(), servers.forget(FORGET_AFTER)), (vec![1, 2], None));
+        servers.mark_gone(0, 10);
+        servers.mark_gone(1, 20);
+        servers.mark_gone(0, 30);
+        // It is back.
+        servers.update(1, address, None);
+        assert_eq!((servers.present(), servers.forget(FORGET_AFTER)), (vec![1, 2], None));
         let late = FORGET_AFTER + 1_000;
         assert_eq!([servers.forget(late), servers.forget(late)], [Some(0), None]);
         assert_eq!((servers.address(0), servers.address(1)), (None, address));
--- a/crates/gateway/src/memory/sessions.rs
+++ b/crates/gateway/src/memory/sessions.rs
@@ -1,32 +1,33 @@
-//! Sessions under small numbers. One that has not been met for long gives its number to another, so that neither the
-//! gateway nor its router grows with all the sessions that there ever were.
+//! Numbers for sessions. The number of a session unused for long is reused, so that memory does not grow with all
+//! sessions that ever existed.
 
 use std::collections::{BTreeSet, HashMap};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use tansyjunction::interface::Micros;
 
-/// After so long a session is forgotten: far longer than replicas lag, so that its writes are everywhere by then, and
-/// short enough that hundreds of new ones a second fit into the memory. Whoever gets its number inherits its last
-/// write, which asks for newer data than need be, never for older.
+/// A session unused for this long is forgotten: far longer than replication lag, so that its writes are everywhere, and
+/// short enough that hundreds of new sessions per second fit into memory. Its successor inherits its last write, so it
+/// requires newer data than necessary, never older.
 const FORGET_AFTER: Micros = 120_000_000;
 
-/// A session's name, which its client may make as long as a message. Guards against names that fill the
-/// memory. Should two have the same mark, they share a number, and ask for newer data than need be.
-type Mark = u64;
+/// Hash of a session's name. Names may be as long as a message and would fill the memory. Two with the same hash
+/// share a number, and require newer data than necessary.
+type NameHash = u64;
 
+/// Numbers of the known sessions.
 #[derive(Default)]
 pub struct Sessions {
-    numbers: HashMap<Mark, usize>,
-    /// The mark behind each number, and until when a command of it was in hand at most.
-    met: Vec<(Mark, Micros)>,
+    numbers: HashMap<NameHash, usize>,
+    /// Hash behind each number, and the latest end of any of its commands.
+    by_number: Vec<(NameHash, Micros)>,
     by_age: BTreeSet<(Micros, usize)>,
 }
 
 impl Sessions {
-    /// The number of a session of which a command is in hand `until` then at most. Guards against a write
-    /// that is answered only after its session's number was given on.
-    pub fn of(&mut self, name: &str, now: Micros, until: Micros) -> usize {
+    /// The number of a session with a command pending until `until` at most. A number is not reused before, so that a
+    /// late answer to a write is not recorded for another session.
+    pub fn number_of(&mut self, name: &str, now: Micros, until: Micros) -> usize {
         let mut hasher = DefaultHasher::new();
         name.hash(&mut hasher);
         let mark = hasher.finish();
@@ -34,19 +35,19 @@
             Some(number) => *number,
             None => {
                 let oldest = self.by_age.first().filter(|(met, _)| met + FORGET_AFTER <= now);
-                let number = oldest.map_or(self.met.len(), |(_, number)| *number);
-                match self.met.get_mut(number) {
+                let number = oldest.map_or(self.by_number.len(), |(_, number)| *number);
+                match self.by_number.get_mut(number) {
                     Some((old, _)) => {
                         self.numbers.remove(old);
                         *old = mark;
                     }
-                    None => self.met.push((mark, now)),
+                    None => self.by_number.push((mark, now)),
                 }
                 self.numbers.insert(mark, number);
                 number
             }
         };
-        let met = &mut self.met[number].1;
+        let met = &mut self.by_number[number].1;
         self.by_age.remove(&(*met, number));
         *met = until.max(*met);
         self.by_age.insert((*met, number));
@@ -62,7 +63,7 @@
     fn a_number_is_given_on_only_after_its_session_was_long_unmet() {
         let mut sessions = Sessions::default();
         let hour = FORGET_AFTER;
-        // Who comes when, and the number that it gets.
+        // Name of the session, time, and expected number.
         for (name, now, number) in [
             ("a", 0, 0),
             ("b", 1, 1),
@@ -74,20 +75,20 @@
             ("a", hour + 3, 4),
             ("d", hour + 4, 1),
         ] {
-            assert_eq!(sessions.of(name, now, now), number, "{name} at {now}");
+            assert_eq!(sessions.number_of(name, now, now), number, "{name} at {now}");
         }
-        assert_eq!(sessions.numbers.len(), sessions.met.len());
+        assert_eq!(sessions.numbers.len(), sessions.by_number.len());
     }
 
-    /// Guards against a session whose last write is noted under a number that another one has by then.
+    /// The last write of a session must not be recorded under a number reused by another one.
     #[test]
     fn a_number_is_not_given_on_while_a_command_may_refer_to_it() {
         let mut sessions = Sessions::default();
         let late = 2 * FORGET_AFTER;
-        assert_eq!(sessions.of("a", 0, late), 0);
-        // A command that ends sooner changes nothing of that.
-        assert_eq!([sessions.of("a", 1, 2), sessions.of("b", late, late)], [0, 1]);
-        assert_eq!(sessions.of("c", late + FORGET_AFTER - 1, late + FORGET_AFTER - 1), 2);
-        assert_eq!(sessions.of("d", late + FORGET_AFTER, late + FORGET_AFTER), 0);
+        assert_eq!(sessions.number_of("a", 0, late), 0);
+        // A command that ends earlier does not change that.
+        assert_eq!([sessions.number_of("a", 1, 2), sessions.number_of("b", late, late)], [0, 1]);
+        assert_eq!(sessions.number_of("c", late + FORGET_AFTER - 1, late + FORGET_AFTER - 1), 2);
+        assert_eq!(sessions.number_of("d", late + FORGET_AFTER, late + FORGET_AFTER), 0);
     }
 }
--- a/crates/gateway/src/run/clock.rs
+++ b/crates/gateway/src/run/clock.rs
@@ -1,22 +1,25 @@
-//! The one clock: whole microseconds that only go forward and start at the Unix time of the start, so that Unix
-//! times from outside need no further mapping.
+//! Clock of the gateway: monotonic microseconds that start at the current Unix time, so that external Unix times need
+//! no conversion.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use rustix::time::{ClockId, clock_gettime};
 use tansyjunction::interface::Micros;
 
+/// A monotonic clock that starts at the current Unix time.
 pub struct Clock {
     started: Instant,
     unix: Micros,
 }
 
 impl Clock {
+    /// Starts the clock.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { started: Instant::now(), unix: unix.as_micros() as Micros }
     }
 
+    /// Current time.
     pub fn now(&self) -> Micros {
         self.unix + self.started.elapsed().as_micros() as Micros
     }
@@ -27,13 +30,12 @@
     now.tv_sec as u64 * 1_000_000 + now.tv_nsec as u64 / 1_000
 }
 
-/// The machine's monotonic clock, in microseconds: the same for all processes of one machine, so that their logs can be
-/// put in one order.
+/// The system's monotonic clock in µs: the same for all processes of a machine, so that their logs can be merged.
 pub fn monotonic() -> Micros {
     read(ClockId::Monotonic)
 }
 
-/// The clock of leases, in microseconds: it goes on while the machine sleeps, as the clocks of the others do.
+/// The lease clock in µs: continues while the machine sleeps.
 pub fn boottime() -> Micros {
     read(ClockId::Boottime)
 }
--- a/crates/gateway/src/run/deployment.rs
+++ b/crates/gateway/src/run/deployment.rs
@@ -1,4 +1,4 @@
-//! The configuration: the one place where it is read, checked and given defaults. Messages name the key.
+//! Configuration: reads and validates it and fills in defaults. Error messages name the key.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -8,11 +8,11 @@
 use tansyjunction::interface::Micros;
 use tansyjunction_hosting::{ServerList, convert_settings};
 
-/// Nanoseconds, the settings' unit, in a microsecond.
-const NANOS: f64 = 1_000.0;
+/// Nanoseconds (the unit of the settings) per microsecond.
+const NANOS_PER_MICRO: f64 = 1_000.0;
 
-/// The times in the settings that stand alone.
-const TIMES: [&str; 8] = [
+/// Durations in the settings.
+const DURATIONS: [&str; 8] = [
     "/round",
     "/limits/dial_timeout",
     "/limits/conn_idle",
@@ -22,65 +22,69 @@
     "/guarantees/overload_for",
     "/domain/patience",
 ];
-/// And those of each command group.
-const TIMES_EACH: [&str; 3] = ["aim", "hard_limit", "window"];
-/// No time is longer, in nanoseconds: some three hundred years, which can be added to any time of the clock.
-const TIME_MOST: f64 = 1e19;
+/// Durations in the settings of each command group.
+const COMMAND_GROUP_DURATIONS: [&str; 3] = ["aim", "hard_limit", "window"];
+/// Longest duration in nanoseconds, about three hundred years: can be added to any time without overflow.
+const MAX_DURATION_NANOS: f64 = 1e19;
 
-/// A command group as far as the gateway itself minds it.
+/// Settings of a command group that the gateway itself needs.
 pub struct CommandGroup {
     pub name: String,
-    /// Its commands name a session; they carry a key; they may write.
+    /// Whether its commands name a session, carry a key, and write.
     pub session: bool,
     pub keyed: bool,
     pub writes: bool,
-    /// Only the primary takes them; how long one may be repeated by its key, in its group.
+    /// Whether they need the primary; how long they may be repeated by their key.
     pub primary: bool,
     pub repeat_within: Micros,
-    /// For the log alone.
+    /// For the log only.
     pub response_target: Micros,
 }
 
-/// What this gateway was told of the deployment that it serves.
+/// Configuration of the gateway and of its deployment.
 pub struct Deployment {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
-    /// File descriptors that this process may hold.
+    /// Most file descriptors of this process.
     pub sockets: usize,
-    /// Bytes of memory that it may hold.
+    /// Most memory of this process in bytes.
     pub memory: usize,
     pub peer_listen: Option<SocketAddr>,
-    /// Addresses of all gateways by their numbers, and this one's number.
+    /// Addresses of all gateways by number, and this one's number.
     pub peers: Vec<SocketAddr>,
     pub number: usize,
     pub known: Option<ServerList>,
     pub zones: Vec<String>,
-    /// The zone that this gateway stands in.
+    /// Zone of this gateway.
     pub zone: String,
     pub command_groups: Vec<CommandGroup>,
-    /// Whether a server that the list calls gone is gone.
-    pub gone_binds: bool,
-    /// Gateways of this deployment, this one included.
+    /// Whether a server that the list calls gone is certainly gone.
+    pub removal_is_final: bool,
+    /// Number of gateways, including this one.
     pub gateways: u64,
-    /// How long any client waits at most.
+    /// Longest client timeout.
     pub longest_wait: Micros,
-    /// Whether dispatches may be called off.
-    pub recalls: bool,
-    /// Whether servers may be probed; whether probes bring a load report.
+    /// Whether dispatches may be cancelled.
+    pub may_cancel: bool,
+    /// Whether servers may be probed; whether probes return a load report.
     pub probes: bool,
     pub reports: bool,
-    /// How long opening a connection may take, and how long one may idle.
+    /// Timeout of opening a connection, and of an idle one.
     pub connect_within: Micros,
     pub idle_for: Micros,
-    /// For random numbers.
+    /// Seed of the random generator.
     pub seed: u64,
-    /// The router, which checks the settings that it picks.
+    /// The router, which validates the settings that it uses.
     pub router: Router,
 }
 
 impl Deployment {
-    /// Reads `path`, or the file that the environment names.
+    /// Reads the file at `path`, or the one named by the environment.
+    ///
+    /// # Errors
+    ///
+    /// Returns a message that names the invalid key.
     pub fn read(path: Option<&Path>) -> Result<Self, String> {
         let env = |key: &str| std::env::var(key).ok().filter(|value| !value.is_empty());
         let path = match path {
@@ -92,7 +96,7 @@
         Deployment::check(&json, env)
     }
 
-    /// `env` serves where the configuration leaves a key out.
+    /// Validates the configuration; `env` provides values for absent keys.
     pub fn check(json: &Json, env: impl Fn(&str) -> Option<String>) -> Result<Self, String> {
         let word = |key: &str, variable: &str| match &json[key] {
             Json::String(text) => Ok(text.clone()),
@@ -107,7 +111,7 @@
             list => Some(ServerList::parse_strict(list).map_err(|message| format!("'known': {message}"))?),
         };
         let peers = json["peers"].as_array().map_or(&[][..], Vec::as_slice).iter();
-        // They are checked; who the others are stands in the program's own settings.
+        // Only validated: the other gateways are named in the program's own settings.
         let peers = peers.map(|peer| address("peers", peer.as_str().unwrap_or_default()));
         let settings = json.get("settings").ok_or("'settings' is missing")?;
         let list = |part: &Json| part.as_array().cloned().unwrap_or_default();
@@ -115,19 +119,19 @@
         if command_groups.is_empty() {
             return Err("'settings.categories' names no command group".into());
         }
-        let places =
-            (0..command_groups.len()).flat_map(|k| TIMES_EACH.map(|key| format!("/categories/{k}/{key}")));
-        for path in TIMES.map(String::from).into_iter().chain(places) {
+        let places = (0..command_groups.len())
+            .flat_map(|k| COMMAND_GROUP_DURATIONS.map(|key| format!("/categories/{k}/{key}")));
+        for path in DURATIONS.map(String::from).into_iter().chain(places) {
             let time = settings.pointer(&path).and_then(Json::as_f64);
-            if let Some(nanos) = time.filter(|nanos| !(0.0..=TIME_MOST).contains(nanos)) {
+            if let Some(nanos) = time.filter(|nanos| !(0.0..=MAX_DURATION_NANOS).contains(nanos)) {
                 return Err(format!("'settings{}' is {nanos}, not a time", path.replace('/', ".")));
             }
         }
         let needs = list(&settings["domain"]["needs_by_class"]);
-        // Only reads that must see their session's writes make a session worth remembering.
+        // Sessions matter only for reads that must see their own writes.
         let sessions = needs.iter().any(|need| need == "causal");
         let waits = command_groups.iter().filter_map(|each| each["hard_limit"].as_f64());
-        let longest_wait = (waits.fold(0.0, f64::max) / NANOS) as Micros;
+        let longest_wait = (waits.fold(0.0, f64::max) / NANOS_PER_MICRO) as Micros;
         let command_groups = command_groups.iter().enumerate().map(|(k, each)| {
             let name = each["name"].as_str().ok_or(format!("'settings.categories.{k}.name' is missing"))?;
             let need = needs.get(k).and_then(Json::as_str).unwrap_or_default();
@@ -138,17 +142,19 @@
                 primary: need == "mutate",
                 repeat_within: match (each["effect"].as_str(), each["dedup_scope"].as_str()) {
                     (Some("token"), Some("zone")) => 0,
-                    (Some("token"), _) => (each["window"].as_f64().unwrap_or(0.0) / NANOS) as Micros,
+                    (Some("token"), _) => {
+                        (each["window"].as_f64().unwrap_or(0.0) / NANOS_PER_MICRO) as Micros
+                    }
                     _ => 0,
                 },
                 writes: each["effect"] != "pure" || need == "mutate",
-                response_target: (each["aim"].as_f64().unwrap_or(0.0) / NANOS) as Micros,
+                response_target: (each["aim"].as_f64().unwrap_or(0.0) / NANOS_PER_MICRO) as Micros,
             })
         });
         let limit = |key: &str| match &settings["limits"][key] {
             Json::Null => Ok(None),
-            value => match value.as_f64().filter(|nanos| *nanos >= NANOS) {
-                Some(nanos) => Ok(Some((nanos / NANOS) as Micros)),
+            value => match value.as_f64().filter(|nanos| *nanos >= NANOS_PER_MICRO) {
+                Some(nanos) => Ok(Some((nanos / NANOS_PER_MICRO) as Micros)),
                 None => Err(format!("'settings.limits.{key}' is {value}, not a time above zero")),
             },
         };
@@ -196,10 +202,10 @@
                 .collect(),
             zone: settings["my_zone"].as_str().unwrap_or_default().into(),
             command_groups: command_groups.collect::<Result<_, String>>()?,
-            gone_binds: settings["guarantees"]["gone_is_advice"] != true,
+            removal_is_final: settings["guarantees"]["gone_is_advice"] != true,
             gateways: settings["balancers"].as_u64().unwrap_or(1).max(1),
             longest_wait,
-            recalls: settings["limits"]["cancelling"] == true,
+            may_cancel: settings["limits"]["cancelling"] == true,
             probes: settings["limits"]["probes"] == true,
             reports: matches!(settings["telemetry"]["how"].as_str(), Some("piggyback" | "pull")),
             connect_within: limit("dial_timeout")?.unwrap_or(250_000),
--- a/crates/gateway/src/run/listener.rs
+++ b/crates/gateway/src/run/listener.rs
@@ -1,4 +1,4 @@
-//! Where clients connect.
+//! Listener for clients.
 
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,6 +9,7 @@
 
 use crate::gateway::Gateway;
 
+/// The listening socket, registered with the event loop; closed on drop.
 pub struct Listener {
     listener: Rc<TcpListener>,
     handle: LoopHandle<'static, Gateway>,
@@ -16,10 +17,11 @@
 }
 
 impl Listener {
+    /// Binds and registers the socket.
     pub fn open(address: SocketAddr, handle: LoopHandle<'static, Gateway>) -> std::io::Result<Self> {
         let listener = Rc::new(TcpListener::bind(address)?);
         listener.set_nonblocking(true)?;
-        // Edge: a queue that can't be emptied for want of descriptors must not spin the loop.
+        // Edge-triggered: a queue that cannot be emptied for lack of descriptors must not cause a busy loop.
         let source = Generic::new(listener.clone(), Interest::READ, Mode::Edge);
         let accept = |_, _: &mut _, gateway: &mut Gateway| {
             gateway.accept();
@@ -30,7 +32,7 @@
         Ok(Listener { listener, handle, token })
     }
 
-    /// The next connection in the listen queue; Err: it may hold more, which can't be had now.
+    /// The next connection in the listen queue. `Err`: there may be more, which cannot be accepted now.
     pub fn next(&self) -> std::io::Result<Option<TcpStream>> {
         loop {
             match self.listener.accept() {
--- a/crates/gateway/src/run/mod.rs
+++ b/crates/gateway/src/run/mod.rs
@@ -1,4 +1,4 @@
-//! Start and stop: configuration, clock, listener, signals.
+//! Startup and shutdown: configuration, clock, listener, signals.
 
 pub mod clock;
 pub mod deployment;
--- a/crates/gateway/src/run/serve.rs
+++ b/crates/gateway/src/run/serve.rs
@@ -1,4 +1,4 @@
-//! One thread, one loop: from the start to the last answer after SIGTERM.
+//! The event loop, from startup to the last answer after SIGTERM.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -12,15 +12,14 @@
 use crate::run::deployment::Deployment;
 use crate::run::listener::Listener;
 
-/// Keeps signals until they are heeded. Guards against a SIGHUP that comes while the process starts, and
-/// would end it.
+/// Blocks signals until they are handled, so that a SIGHUP during startup does not end the process.
 pub fn signals() -> Result<Signals, String> {
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]);
     signals.map_err(|error| format!("signals: {error}"))
 }
 
-/// Serves as the configuration at `path`, or the one that the environment names, and the program's settings
-/// say; `signals` that came before are heeded then.
+/// Runs the gateway with the configuration at `path`, or the one named by the environment, and the program's settings.
+/// Handles `signals` received before.
 pub fn serve(signals: Signals, path: Option<PathBuf>, program: &Program) -> Result<(), String> {
     let deployment = Deployment::read(path.as_deref())?;
     let text = |what: &'static str| move |error: calloop::Error| format!("{what}: {error}");
@@ -35,8 +34,8 @@
     let listener =
         Listener::open(address, handle.clone()).map_err(|error| format!("'listen' {address}: {error}"))?;
     let mut gateway = Gateway::new(handle, deployment, listener, program);
-    gateway.open_company(&program.fellows)?;
-    gateway.open_council(program)?;
+    gateway.open_membership(&program.fellows)?;
+    gateway.open_consensus(program)?;
     let _control = match &program.control {
         Some(path) => {
             Some(gateway.open_control(path).map_err(|error| format!("{}: {error}", path.display()))?)
@@ -44,13 +43,13 @@
         None => None,
     };
     info!(target: "start", "{name} serves on {address}");
-    while !gateway.is_over() {
+    while !gateway.is_finished() {
         let before = gateway.clock.now();
         let wait = Duration::from_micros(gateway.next_due().saturating_sub(before));
         events.dispatch(wait, &mut gateway).map_err(text("loop"))?;
-        gateway.settle(before);
+        gateway.run_due(before);
     }
-    gateway.end_council();
+    gateway.end_consensus();
     info!(target: "start", "{name} has stopped");
     Ok(())
 }
--- a/crates/gateway/src/wire/bytes.rs
+++ b/crates/gateway/src/wire/bytes.rs
@@ -1,35 +1,35 @@
-//! Bytes on their way in and out of a socket that never blocks.
+//! Buffers for non-blocking sockets.
 
 use std::io::{self, ErrorKind, IoSlice, Read, Write};
 use std::net::TcpStream;
 
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 
-/// Read at a time; also what an idle connection does not keep.
-const CHUNK: usize = 16 * 1_024;
+/// Bytes per read; also the most memory that an idle connection keeps.
+const CHUNK_BYTES: usize = 16 * 1_024;
 
-/// What a read from a socket came to.
+/// Result of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reading {
-    /// Nothing more for now.
-    Dry,
-    /// The limit is reached; more may be there.
+pub enum ReadResult {
+    /// No more data for now.
+    Drained,
+    /// The limit is reached; more data may be available.
     Full,
-    /// The other side has ended.
+    /// The other side has shut down.
     Ended,
-    /// The connection broke: a reset is no end, what came before it may be a part.
-    Broken,
+    /// The connection was reset: the data before may be incomplete.
+    Reset,
 }
 
-/// Whether the other side has ended, also behind bytes that are still unread. Where the system does not tell, it
-/// looks as if it went on: then only reading on finds the end.
+/// Whether the other side has shut down, possibly behind unread data. Where the system cannot tell, false: then only
+/// reading finds the end.
 pub fn has_ended(stream: &TcpStream) -> bool {
     let mut there = [PollFd::new(stream, PollFlags::RDHUP)];
     let told = poll(&mut there, Some(&Timespec::default())).is_ok_and(|count| count > 0);
     told && there[0].revents().contains(PollFlags::RDHUP)
 }
 
-/// Bytes read and not used yet.
+/// Received bytes that are not consumed yet.
 #[derive(Default)]
 pub struct Inbox {
     bytes: Vec<u8>,
@@ -37,42 +37,44 @@
 }
 
 impl Inbox {
+    /// The unconsumed bytes.
     pub fn rest(&self) -> &[u8] {
         &self.bytes[self.used..]
     }
 
-    /// How much memory it holds.
-    pub fn kept(&self) -> usize {
+    /// Memory used in bytes.
+    pub fn memory(&self) -> usize {
         self.bytes.capacity()
     }
 
-    /// Gives up the first `count` bytes; an empty box gives its memory back.
+    /// Removes the first `count` bytes; an empty inbox releases its memory.
     pub fn consume(&mut self, count: usize) {
-        // Guards against a sum beyond all: whoever drops all that is left names the greatest count.
+        // Dropping all that is left is requested with the largest count, which must not overflow.
         self.used = self.used.saturating_add(count).min(self.bytes.len());
         if self.used == self.bytes.len() {
             (self.bytes, self.used) = (Vec::new(), 0);
         }
     }
 
-    /// Reads what is there, until `most` bytes are kept.
-    pub fn read(&mut self, mut stream: &TcpStream, most: usize) -> Reading {
-        let mut chunk = [0; CHUNK];
+    /// Reads available data until `most` bytes are stored.
+    pub fn read(&mut self, mut stream: &TcpStream, most: usize) -> ReadResult {
+        let mut chunk = [0; CHUNK_BYTES];
         loop {
             if self.bytes.len() - self.used >= most {
-                return Reading::Full;
+                return ReadResult::Full;
             }
             match stream.read(&mut chunk) {
-                Ok(0) => return Reading::Ended,
-                Ok(count) => self.put(&chunk[..count]),
-                Err(error) if error.kind() == ErrorKind::WouldBlock => return Reading::Dry,
+                Ok(0) => return ReadResult::Ended,
+                Ok(count) => self.append(&chunk[..count]),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return ReadResult::Drained,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return Reading::Broken,
+                Err(_) => return ReadResult::Reset,
             }
         }
     }
 
-    pub fn put(&mut self, bytes: &[u8]) {
+    /// Appends bytes.
+    pub fn append(&mut self, bytes: &[u8]) {
         if self.used > 0 {
             self.bytes.drain(..self.used);
             self.used = 0;
@@ -81,22 +83,24 @@
     }
 }
 
-/// Bytes that a socket has not taken yet.
+/// Bytes that the socket has not accepted yet.
 #[derive(Default)]
 pub struct Outbox {
     bytes: Vec<u8>,
 }
 
 impl Outbox {
-    pub fn holding(bytes: Vec<u8>) -> Self {
+    /// Starts with bytes to be written.
+    pub fn with_bytes(bytes: Vec<u8>) -> Self {
         Outbox { bytes }
     }
 
+    /// Whether everything was written.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// Writes the parts behind what still waits, in one gathered write where the socket takes it.
+    /// Writes the parts after the pending bytes, with one vectored write if the socket accepts it.
     pub fn write(&mut self, mut stream: &TcpStream, parts: &[&[u8]]) -> io::Result<()> {
         let mut slices: Vec<IoSlice> =
             std::iter::once(&self.bytes[..]).chain(parts.iter().copied()).map(IoSlice::new).collect();
@@ -114,7 +118,7 @@
         Ok(())
     }
 
-    /// Writes on after the socket was full.
+    /// Continues writing after the socket was full.
     pub fn flush(&mut self, stream: &TcpStream) -> io::Result<()> {
         self.write(stream, &[])
     }
--- a/crates/gateway/src/wire/client.rs
+++ b/crates/gateway/src/wire/client.rs
@@ -1,4 +1,4 @@
-//! A client's connection: its messages one after the other, and the answers to them.
+//! Client connection: reads messages one by one and writes the answers.
 
 use std::collections::VecDeque;
 use std::net::TcpStream;
@@ -9,42 +9,43 @@
 use tansyjunction::interface::Micros;
 use tansyjunction_hosting::Timer;
 
-use crate::wire::bytes::{Inbox, Outbox, Reading, has_ended};
+use crate::wire::bytes::{Inbox, Outbox, ReadResult, has_ended};
 use crate::wire::frames;
 
-/// A value of 64 KiB in hexadecimal, with its statement.
-pub const MESSAGE_MOST: usize = 2 * 65_536 + 4_096;
-/// Beyond this a length is taken for lost framing and not skipped.
-const SKIP_MOST: usize = 64 * 1_024 * 1_024;
-/// Read beyond the command in hand, to notice that its client leaves; the rest waits in the socket. The larger figure
-/// holds while there is room: it finds an end behind what was sent ahead, on any system.
-const AHEAD: usize = 4_096;
-const AHEAD_MOST: usize = 512 * 1_024;
-/// Longest startup message, as PostgreSQL has it.
-const OPENING_MOST: usize = 10_000;
-/// How long a startup or a message may take to come in whole: far longer than a slow client's, and short enough that
-/// silent ones by the hundred hold their descriptors for a moment only.
-const WHOLE_WITHIN: Micros = 2_500_000;
-/// The same for an overlong message that is skipped, which keeps coming.
-const SKIPPED_WITHIN: Micros = 5_000_000;
+/// Longest message: a value of 64 KiB in hexadecimal with its statement.
+pub const MAX_MESSAGE_BYTES: usize = 2 * 65_536 + 4_096;
+/// Longest message that is skipped; a larger length means that framing is lost.
+const MAX_SKIPPED_BYTES: usize = 64 * 1_024 * 1_024;
+/// Bytes read beyond the pending command to notice that its client leaves; the rest stays in the socket. The larger
+/// value is used while there is memory: it finds an end behind everything sent ahead, on any system.
+const READ_AHEAD_BYTES: usize = 4_096;
+const MAX_READ_AHEAD_BYTES: usize = 512 * 1_024;
+/// Longest startup message, as in PostgreSQL.
+const MAX_STARTUP_BYTES: usize = 10_000;
+/// Timeout of an incomplete startup or message: far longer than slow clients need, and short enough that hundreds of
+/// silent ones hold their descriptors only briefly.
+const MESSAGE_TIMEOUT: Micros = 2_500_000;
+/// The same for an overlong message that is skipped and keeps arriving.
+const SKIP_TIMEOUT: Micros = 5_000_000;
 /// How long a client may leave an answer unread.
-const READ_WITHIN: Micros = 10_000_000;
-/// How long a connection that was ended here waits for the other side's end.
+const READ_TIMEOUT: Micros = 10_000_000;
+/// How long a connection that was shut down here waits for the client's end.
 pub const LINGER: Micros = 1_000_000;
 
-const STARTUP: u32 = 196_608;
-const SSL: u32 = 80_877_103;
-const GSS: u32 = 80_877_104;
+const STARTUP_CODE: u32 = 196_608;
+const SSL_REQUEST_CODE: u32 = 80_877_103;
+const GSS_REQUEST_CODE: u32 = 80_877_104;
 
+/// State of the connection.
 #[derive(Clone, Copy, PartialEq)]
 enum Phase {
-    Opening,
+    Startup,
     Open,
-    /// Nothing more is answered; the connection ends once the client has ended its side.
+    /// No more answers; the connection closes once the client has shut down its side.
     Closing,
 }
 
-/// The command in hand; its message stays at the front of the inbox until it is over.
+/// The pending command; its message stays at the front of the inbox until it is finished.
 pub struct InHand {
     pub command: u64,
     pub id: String,
@@ -52,146 +53,148 @@
     pub wait_at: Range<usize>,
 }
 
-/// What the next message asks for.
+/// Result of handling the next message.
 pub enum Next {
-    /// It has not come in whole.
+    /// It is incomplete.
     Wait,
     /// It was answered here.
     Answered,
     /// It was the startup.
     Opened,
-    /// A query of so many bytes stands at the front.
+    /// A query of this length is at the front.
     Query(usize),
-    /// The connection is of no more use.
+    /// The connection is to be closed.
     Close,
 }
 
+/// A client connection.
 pub struct Client {
     pub stream: Rc<TcpStream>,
     pub token: RegistrationToken,
     pub inbox: Inbox,
-    /// How many bytes of the inbox came when, the first ones first.
-    came: VecDeque<(usize, Micros)>,
+    /// Arrival times of the bytes in the inbox, the first ones first.
+    arrivals: VecDeque<(usize, Micros)>,
     pub outbox: Outbox,
     phase: Phase,
     pub in_hand: Option<InHand>,
-    /// Bytes of an overlong message still to be dropped.
+    /// Bytes of an overlong message still to be skipped.
     skip: usize,
-    /// After an error in the extended protocol, until Sync.
+    /// After an error in the extended protocol: skips messages until Sync.
     until_sync: bool,
-    /// What stands at the front came in whole and waits for the gateway.
-    kept: bool,
-    /// More may wait in the socket than was read.
+    /// The message at the front is complete and waits until the gateway serves.
+    message_waits: bool,
+    /// More data may be in the socket.
     more: bool,
-    /// When it last had a command in hand, or came.
-    pub used: Micros,
-    /// Messages taken so far, and until when what it is in the middle of may go on.
-    taken: u64,
-    minded: Option<(Micros, u64)>,
+    /// When it last had a command, or connected.
+    pub last_used: Micros,
+    /// Number of messages handled, and timeout of what it is in the middle of.
+    handled: u64,
+    timeout_set: Option<(Micros, u64)>,
     pub limit: Timer,
 }
 
 impl Client {
+    /// Creates the connection.
     pub fn new(stream: Rc<TcpStream>, token: RegistrationToken, now: Micros) -> Self {
         Client {
             stream,
             token,
             inbox: Inbox::default(),
-            came: VecDeque::new(),
+            arrivals: VecDeque::new(),
             outbox: Outbox::default(),
-            phase: Phase::Opening,
+            phase: Phase::Startup,
             in_hand: None,
             skip: 0,
             until_sync: false,
-            kept: false,
+            message_waits: false,
             more: false,
-            used: now,
-            taken: 0,
-            minded: None,
+            last_used: now,
+            handled: 0,
+            timeout_set: None,
             limit: Timer::default(),
         }
     }
 
-    /// Without a command, and with nothing begun.
+    /// Whether it has no command and no incomplete message.
     pub fn is_idle(&self) -> bool {
         self.in_hand.is_none() && self.inbox.rest().is_empty() && self.outbox.is_empty()
     }
 
-    /// What came in whole waits until the gateway serves.
-    pub fn is_kept(&self) -> bool {
-        self.kept
+    /// Whether a complete message waits until the gateway serves.
+    pub fn has_waiting_message(&self) -> bool {
+        self.message_waits
     }
 
-    /// Its connection was ended here.
+    /// Whether it was shut down here.
     pub fn is_closing(&self) -> bool {
         self.phase == Phase::Closing
     }
 
-    /// Without a startup, and none that came in whole.
-    pub fn is_silent(&self) -> bool {
-        let opening = frames::opening(self.inbox.rest(), OPENING_MOST);
-        self.phase == Phase::Opening && matches!(opening, Ok(None))
+    /// Whether it has not sent a complete startup.
+    pub fn lacks_startup(&self) -> bool {
+        let opening = frames::opening(self.inbox.rest(), MAX_STARTUP_BYTES);
+        self.phase == Phase::Startup && matches!(opening, Ok(None))
     }
 
-    /// What it is in the middle of, told by how long that may take and by the messages before it.
-    fn in_the_middle(&self) -> Option<(Micros, u64)> {
+    /// What it is in the middle of: its timeout, and the number of messages before it.
+    fn incomplete_work(&self) -> Option<(Micros, u64)> {
         let within = match self.phase {
             Phase::Closing if self.outbox.is_empty() => LINGER,
-            _ if self.in_hand.is_some() || self.kept => return None,
-            _ if !self.outbox.is_empty() => READ_WITHIN,
-            _ if self.skip > 0 => SKIPPED_WITHIN,
+            _ if self.in_hand.is_some() || self.message_waits => return None,
+            _ if !self.outbox.is_empty() => READ_TIMEOUT,
+            _ if self.skip > 0 => SKIP_TIMEOUT,
             Phase::Open if self.inbox.rest().is_empty() => return None,
-            _ => WHOLE_WITHIN,
+            _ => MESSAGE_TIMEOUT,
         };
-        Some((within, self.taken))
+        Some((within, self.handled))
     }
 
-    /// When it is to be given up, where that changed. Guards against clients that never finish what they began.
-    pub fn mind(&mut self) -> Option<Option<Micros>> {
-        let middle = self.in_the_middle();
-        let changed = std::mem::replace(&mut self.minded, middle) != middle;
+    /// The new timeout, if it has changed. Limits clients that never finish a message.
+    pub fn changed_timeout(&mut self) -> Option<Option<Micros>> {
+        let middle = self.incomplete_work();
+        let changed = std::mem::replace(&mut self.timeout_set, middle) != middle;
         changed.then(|| middle.map(|(within, _)| within))
     }
 
-    /// Reads what is there; false: the client has ended. One that ends its side right behind a whole command has gone
-    /// too: by the protocol's page a client stays for as long as it waits, and what it sent before is not answered.
+    /// Reads available data; false if the client has gone. A client that shuts down its side right after a complete
+    /// command has gone too: by the protocol it stays while it waits, and earlier commands are not answered.
     pub fn read(&mut self, now: Micros) -> bool {
-        // Guards against clients that send ahead or do not read, whose bytes would fill the memory.
+        // Clients that send ahead or do not read would fill the memory.
         let most = match &self.in_hand {
-            Some(in_hand) => in_hand.length + AHEAD,
-            None if !self.outbox.is_empty() => AHEAD,
-            None => MESSAGE_MOST + frames::HEAD,
+            Some(in_hand) => in_hand.length + READ_AHEAD_BYTES,
+            None if !self.outbox.is_empty() => READ_AHEAD_BYTES,
+            None => MAX_MESSAGE_BYTES + frames::HEADER_BYTES,
         };
         self.read_until(now, most)
     }
 
-    /// Whether the last reading left something in the socket; what is dropped is not minded.
-    pub fn leaves_unread(&self) -> bool {
+    /// Whether the last read left data in the socket; skipped data does not count.
+    pub fn has_unread(&self) -> bool {
         self.more && self.phase != Phase::Closing
     }
 
-    /// Looks for the end behind what [`Client::read`] left unread, reading on where there is `room`; false: the
-    /// client has ended. Guards against attempts for a client that left behind what it had sent ahead.
-    pub fn looks_ahead(&mut self, now: Micros, room: bool) -> bool {
+    /// Looks for the client's end behind unread data, reading on if there is `room`; false if it has gone. Prevents
+    /// attempts for a client that left after sending ahead.
+    pub fn check_for_end(&mut self, now: Micros, room: bool) -> bool {
         let in_hand = self.in_hand.as_ref().filter(|_| room);
-        let most = in_hand.map(|in_hand| in_hand.length + AHEAD_MOST);
+        let most = in_hand.map(|in_hand| in_hand.length + MAX_READ_AHEAD_BYTES);
         most.is_none_or(|most| self.read_until(now, most)) && !(self.more && has_ended(&self.stream))
     }
 
     fn read_until(&mut self, now: Micros, most: usize) -> bool {
         let before = self.inbox.rest().len();
         let reading = self.inbox.read(&self.stream, most);
-        self.note_came(self.inbox.rest().len() - before, now);
-        self.more = reading == Reading::Full;
+        self.record_arrival(self.inbox.rest().len() - before, now);
+        self.more = reading == ReadResult::Full;
         if self.phase == Phase::Closing {
             self.drop_front(usize::MAX);
         }
-        !matches!(reading, Reading::Ended | Reading::Broken)
+        !matches!(reading, ReadResult::Ended | ReadResult::Reset)
     }
 
-    /// Takes the next message; commands once the gateway `takes` them, empty queries once it is `ready`.
+    /// Handles the next message: commands once the gateway `takes` them, empty queries once it is `ready`.
     pub fn next(&mut self, now: Micros, takes: bool, ready: bool) -> Next {
-        self.kept = false;
+        self.message_waits = false;
         if self.phase == Phase::Closing {
             return self.wait(now);
         }
@@ -205,17 +208,17 @@
             if self.skip > 0 {
                 return self.wait(now);
             }
-            self.taken += 1;
+            self.handled += 1;
             return self
                 .answer(&[&frames::error("ERROR", "54000", "the message is too long", None), frames::READY]);
         }
-        if self.phase == Phase::Opening {
+        if self.phase == Phase::Startup {
             return self.opening(now);
         }
-        let (kind, length) = match frames::first(self.inbox.rest(), MESSAGE_MOST) {
+        let (kind, length) = match frames::first(self.inbox.rest(), MAX_MESSAGE_BYTES) {
             Ok(Some(first)) => first,
             Ok(None) => return self.wait(now),
-            Err(Some(length)) if length <= SKIP_MOST => {
+            Err(Some(length)) if length <= MAX_SKIPPED_BYTES => {
                 self.skip = length;
                 return Next::Answered;
             }
@@ -226,14 +229,14 @@
             text.is_some_and(|text| text.iter().all(|b| b.is_ascii_whitespace() || *b == b';'))
         };
         match kind {
-            b'Q' if blank(&self.inbox.rest()[frames::HEAD..length]) => {
+            b'Q' if blank(&self.inbox.rest()[frames::HEADER_BYTES..length]) => {
                 if !ready {
-                    return self.keep();
+                    return self.keep_message();
                 }
                 self.consume(length);
                 self.answer(&[frames::EMPTY_QUERY, frames::READY])
             }
-            b'Q' if !takes => self.keep(),
+            b'Q' if !takes => self.keep_message(),
             b'Q' => Next::Query(length),
             b'X' => Next::Close,
             b'S' => {
@@ -253,17 +256,17 @@
         }
     }
 
-    /// The message at the front is done with.
+    /// Removes the message at the front.
     pub fn consume(&mut self, length: usize) {
         self.drop_front(length);
-        self.taken += 1;
+        self.handled += 1;
     }
 
-    fn note_came(&mut self, count: usize, now: Micros) {
-        match self.came.back_mut() {
-            // Bounded by the bytes kept and by time: what comes byte by byte is noted by the millisecond.
+    fn record_arrival(&mut self, count: usize, now: Micros) {
+        match self.arrivals.back_mut() {
+            // Bounded: arrival times are recorded once per millisecond.
             Some((bytes, at)) if now < *at + 1_000 => *bytes += count,
-            _ if count > 0 => self.came.push_back((count, now)),
+            _ if count > 0 => self.arrivals.push_back((count, now)),
             _ => {}
         }
     }
@@ -271,34 +274,34 @@
     fn drop_front(&mut self, count: usize) {
         self.inbox.consume(count);
         let mut left = count;
-        while let Some((bytes, _)) = self.came.front_mut() {
+        while let Some((bytes, _)) = self.arrivals.front_mut() {
             if *bytes > left {
                 *bytes -= left;
                 return;
             }
             left -= *bytes;
-            self.came.pop_front();
+            self.arrivals.pop_front();
         }
     }
 
-    /// When the last byte of the message at the front came. Guards against requests that wait behind others on their
-    /// connection and are then given all of their time once more: their clients leave before that.
-    pub fn came(&self, length: usize) -> Option<Micros> {
+    /// Arrival time of the last byte of the message at the front. The timeout of pipelined commands counts from it,
+    /// not from their turn: their clients leave before that.
+    pub fn arrived_at(&self, length: usize) -> Option<Micros> {
         let mut bytes = 0;
         let whole = |(count, _): &&(usize, Micros)| {
             bytes += count;
             bytes >= length
         };
-        self.came.iter().find(whole).map(|(_, at)| *at)
+        self.arrivals.iter().find(whole).map(|(_, at)| *at)
     }
 
-    /// What came in whole waits. Guards against a first empty query that is told to have come too late.
-    fn keep(&mut self) -> Next {
-        self.kept = true;
+    /// Keeps a complete message waiting, so that its timeout for completion no longer applies.
+    fn keep_message(&mut self) -> Next {
+        self.message_waits = true;
         Next::Wait
     }
 
-    /// Waits for more, which may already be in the socket.
+    /// Waits for more data, which may already be in the socket.
     fn wait(&mut self, now: Micros) -> Next {
         if !self.more {
             return Next::Wait;
@@ -307,13 +310,13 @@
     }
 
     fn opening(&mut self, now: Micros) -> Next {
-        match frames::opening(self.inbox.rest(), OPENING_MOST) {
+        match frames::opening(self.inbox.rest(), MAX_STARTUP_BYTES) {
             Ok(None) => self.wait(now),
-            Ok(Some((SSL | GSS, length))) => {
+            Ok(Some((SSL_REQUEST_CODE | GSS_REQUEST_CODE, length))) => {
                 self.consume(length);
                 self.answer(&[b"N"])
             }
-            Ok(Some((STARTUP, length))) => {
+            Ok(Some((STARTUP_CODE, length))) => {
                 self.consume(length);
                 self.phase = Phase::Open;
                 match self.answer(&[frames::WELCOME, frames::READY]) {
@@ -322,28 +325,28 @@
                 }
             }
             Ok(Some((code, _))) if code >> 16 == 3 => self.refuse("0A000", "only protocol 3.0 is served"),
-            // Cancel requests come on connections of their own and are not answered.
+            // Cancel requests use separate connections and are not answered.
             Ok(Some(_)) => Next::Close,
             Err(()) => self.refuse("08P01", "the startup message makes no sense"),
         }
     }
 
-    /// Ends the connection with a last word.
+    /// Sends a final error and shuts down the connection.
     pub fn refuse(&mut self, code: &str, message: &str) -> Next {
         let error = frames::error("FATAL", code, message, None);
         if let Next::Close = self.answer(&[&error]) {
             return Next::Close;
         }
-        self.close_gently();
+        self.shut_down();
         Next::Answered
     }
 
-    /// Writes an answer; what the socket does not take follows when it does.
+    /// Writes an answer; what the socket does not accept is written later.
     pub fn answer(&mut self, parts: &[&[u8]]) -> Next {
         if self.outbox.write(&self.stream, parts).is_err() { Next::Close } else { Next::Answered }
     }
 
-    /// Writes on after the socket was full; false: the connection has broken.
+    /// Continues writing after the socket was full; false if the connection broke.
     pub fn flush(&mut self) -> bool {
         if self.outbox.is_empty() {
             return true;
@@ -355,18 +358,18 @@
         written
     }
 
-    /// The command in hand has been answered.
+    /// Records the answer to the pending command.
     pub fn answered(&mut self) -> Option<InHand> {
         let in_hand = self.in_hand.take()?;
         self.consume(in_hand.length);
         Some(in_hand)
     }
 
-    /// Ends this side and drops what comes. Guards against a reset that would overtake the last answer.
-    pub fn close_gently(&mut self) {
+    /// Shuts down this side and drops further input, so that no reset overtakes the last answer.
+    pub fn shut_down(&mut self) {
         self.phase = Phase::Closing;
         self.drop_front(usize::MAX);
-        // Guards against an end that cuts off an answer which the socket has not taken yet.
+        // A shutdown now would cut off an answer that the socket has not accepted yet.
         if self.outbox.is_empty() {
             self.end_sending();
         }
--- a/crates/gateway/src/wire/directory.rs
+++ b/crates/gateway/src/wire/directory.rs
@@ -1,4 +1,4 @@
-//! Discovery over HTTP: the whole list of servers, and the watch that keeps it up to date.
+//! Discovery over HTTP: the whole server list, and the watch for changes.
 
 #[cfg(test)]
 mod tests;
@@ -8,21 +8,21 @@
 use serde_json::Value as Json;
 use tansyjunction_hosting::ServerList;
 
-use crate::wire::bytes::{Inbox, Outbox, Reading};
+use crate::wire::bytes::{Inbox, Outbox, ReadResult};
 
-/// Longest head, and longest list kept while it comes in.
-const HEAD_MOST: usize = 16 * 1_024;
-const LIST_MOST: usize = 4 * 1_024 * 1_024;
-/// Lists nested more deeply than the parser takes.
-const DEEP_MOST: usize = 128;
-/// What is read at a turn, at least 16 KiB each time, and the lists that are taken from it.
-const READS_A_TURN: usize = 16;
-const LISTS_A_TURN: usize = 16;
+/// Longest HTTP head, and longest incomplete list.
+const MAX_HEAD_BYTES: usize = 16 * 1_024;
+const MAX_LIST_BYTES: usize = 4 * 1_024 * 1_024;
+/// Deepest nesting of JSON; the parser's limit.
+const MAX_NESTING: usize = 128;
+/// Most reads of at least 16 KiB per turn, and most lists handled from them.
+const READS_PER_TURN: usize = 16;
+const LISTS_PER_TURN: usize = 16;
 
-/// How the body of an answer is measured out.
+/// Framing of the response body.
 enum Body {
     Head,
-    /// Bytes left of this chunk, its line end included; None: a chunk's size comes next.
+    /// Bytes left in this chunk including its line end; `None`: a chunk size comes next.
     Chunks(Option<usize>),
     Length(usize),
     /// Until the connection ends.
@@ -30,81 +30,81 @@
     Done,
 }
 
-/// How an answer stands after a read.
+/// State of a response after a read.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Stands {
+pub enum ResponseState {
     Open,
-    /// It goes on, and more may be there: the others have their turn first.
+    /// More data may be available; others get their turn first.
     More,
     Ended,
 }
 
-/// What a read brought.
+/// Result of a read.
 #[derive(Default)]
-pub struct Came {
-    /// Anything at all.
+pub struct Received {
+    /// Whether any data arrived.
     pub bytes: bool,
-    /// Lists that are whole.
+    /// Complete lists.
     pub lists: Vec<ServerList>,
-    /// A whole sign of life: a list, or an empty line between two.
+    /// A complete sign of life: a list, or an empty line between two.
     pub whole: bool,
 }
 
-/// One answer of discovery on its connection: the whole list, or a watch.
-pub struct Answer {
+/// A response of discovery: the whole list, or a watch.
+pub struct Response {
     follow: bool,
     pub inbox: Inbox,
     pub outbox: Outbox,
     body: Body,
     text: Vec<u8>,
-    place: Place,
+    place: ScanState,
 }
 
-impl Answer {
-    /// Asks for the whole list, or for what changes `since` a version; written once the connection is there.
+impl Response {
+    /// Requests the whole list, or the changes `since` a version. Written once the connection is established.
     pub fn new(address: SocketAddr, since: Option<u64>) -> Self {
         let query = since.map_or(String::new(), |since| format!("?follow=1&since={since}"));
         let close = if since.is_none() { "Connection: close\r\n" } else { "" };
         let head = format!(
             "GET /discovery/hosts{query} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\n{close}\r\n"
         );
-        Answer {
+        Response {
             follow: since.is_some(),
             inbox: Inbox::default(),
-            outbox: Outbox::holding(head.into_bytes()),
+            outbox: Outbox::with_bytes(head.into_bytes()),
             body: Body::Head,
             text: Vec::new(),
-            place: Place::default(),
+            place: ScanState::default(),
         }
     }
 
-    /// Reads what is there, up to a turn's share. What was whole before an error is in `came` all the same.
-    pub fn read(&mut self, stream: &TcpStream, came: &mut Came) -> Result<Stands, String> {
-        for _ in 0..READS_A_TURN {
+    /// Reads available data up to a turn's limit. What was complete before an error is in `came` nonetheless.
+    pub fn read(&mut self, stream: &TcpStream, came: &mut Received) -> Result<ResponseState, String> {
+        for _ in 0..READS_PER_TURN {
             let before = self.inbox.rest().len();
-            let reading = self.inbox.read(stream, HEAD_MOST);
+            let reading = self.inbox.read(stream, MAX_HEAD_BYTES);
             came.bytes |= self.inbox.rest().len() > before;
             self.take(came)?;
-            // Guards against what stands behind the end, which would be looked at for ever.
+            // Data behind the end of the response would be examined forever.
             if matches!(self.body, Body::Done) {
                 return self.ended(came);
             }
-            if came.lists.len() >= LISTS_A_TURN {
-                return Ok(Stands::More);
+            if came.lists.len() >= LISTS_PER_TURN {
+                return Ok(ResponseState::More);
             }
             match reading {
-                Reading::Full => {}
-                Reading::Dry => return Ok(Stands::Open),
-                Reading::Ended => return self.ended(came),
-                // Guards against a list that a reset cut short: it is no end, and nothing of the rest is taken.
-                Reading::Broken => return Err("the connection was reset".into()),
+                ReadResult::Full => {}
+                ReadResult::Drained => return Ok(ResponseState::Open),
+                ReadResult::Ended => return self.ended(came),
+                // After a reset the list is incomplete, and nothing of the rest is used.
+                ReadResult::Reset => return Err("the connection was reset".into()),
             }
         }
-        Ok(Stands::More)
+        Ok(ResponseState::More)
     }
 
-    /// The answer has ended: a list may only end where its body does, a watch only between two lists.
-    fn ended(&mut self, came: &mut Came) -> Result<Stands, String> {
+    /// Handles the end of the connection: a list must end with its body, a watch between two lists.
+    fn ended(&mut self, came: &mut Received) -> Result<ResponseState, String> {
         if matches!(self.body, Body::Rest) {
             self.body = Body::Done;
             self.take(came)?;
@@ -114,14 +114,14 @@
             Body::Head => false,
             _ => self.follow && self.place.open.is_empty(),
         };
-        if whole { Ok(Stands::Ended) } else { Err("it ended before the list was whole".into()) }
+        if whole { Ok(ResponseState::Ended) } else { Err("it ended before the list was whole".into()) }
     }
 
-    fn take(&mut self, came: &mut Came) -> Result<(), String> {
+    fn take(&mut self, came: &mut Received) -> Result<(), String> {
         loop {
             if self.follow {
                 self.lines(came)?;
-                if came.lists.len() >= LISTS_A_TURN {
+                if came.lists.len() >= LISTS_PER_TURN {
                     return Ok(());
                 }
             }
@@ -133,14 +133,14 @@
                     let mut response = httparse::Response::new(&mut headers);
                     let head = match response.parse(rest).map_err(|error| format!("no HTTP: {error}"))? {
                         httparse::Status::Complete(head) => head,
-                        httparse::Status::Partial if rest.len() >= HEAD_MOST => {
+                        httparse::Status::Partial if rest.len() >= MAX_HEAD_BYTES => {
                             return Err("the head is too long".into());
                         }
                         httparse::Status::Partial => return Ok(()),
                     };
                     match response.code {
                         Some(200) => {}
-                        // Others come before the answer itself.
+                        // Interim responses precede the final one.
                         Some(100 | 102 | 103) => {
                             self.inbox.consume(head);
                             continue;
@@ -168,15 +168,15 @@
                         self.inbox.consume(head);
                         self.body = Body::Done;
                     }
-                    Ok(httparse::Status::Complete((_, size))) if size > LIST_MOST as u64 => {
+                    Ok(httparse::Status::Complete((_, size))) if size > MAX_LIST_BYTES as u64 => {
                         return Err("a chunk is too long".into());
                     }
                     Ok(httparse::Status::Complete((head, size))) => {
                         self.inbox.consume(head);
                         self.body = Body::Chunks(Some(size as usize + 2));
                     }
-                    // Guards against a line that never ends, which would be read for ever.
-                    Ok(httparse::Status::Partial) if rest.len() >= HEAD_MOST => {
+                    // A line that never ends must not be read forever.
+                    Ok(httparse::Status::Partial) if rest.len() >= MAX_HEAD_BYTES => {
                         return Err("a chunk's first line is too long".into());
                     }
                     Ok(httparse::Status::Partial) => return Ok(()),
@@ -192,13 +192,13 @@
                     let mut text = count;
                     if let Body::Chunks(Some(left)) | Body::Length(left) = &mut self.body {
                         count = count.min(*left);
-                        // The last two bytes of a chunk end its line.
+                        // The last two bytes of a chunk are its line end.
                         text = if chunked { count.min(left.saturating_sub(2)) } else { count };
                         *left -= count;
                     }
                     self.text.extend_from_slice(&rest[..text]);
                     self.inbox.consume(count);
-                    if self.text.len() > LIST_MOST {
+                    if self.text.len() > MAX_LIST_BYTES {
                         return Err("the list is too long".into());
                     }
                 }
@@ -213,17 +213,17 @@
         }
     }
 
-    /// A watch brings one list after the other, empty lines between them only tell that it lives. Guards against
-    /// lists that come indented, over many lines: each ends where its JSON does.
-    fn lines(&mut self, came: &mut Came) -> Result<(), String> {
+    /// A watch sends one list after the other; empty lines between them are signs of life. Lists may be indented over
+    /// many lines: each ends where its JSON does.
+    fn lines(&mut self, came: &mut Received) -> Result<(), String> {
         let mut taken = 0;
-        while came.lists.len() < LISTS_A_TURN {
+        while came.lists.len() < LISTS_PER_TURN {
             let step = self.place.step(&self.text)?;
-            came.whole |= step != Step::Part;
+            came.whole |= step != ScanStep::Part;
             match step {
-                Step::List => came.lists.push(parse(&self.text[taken..self.place.at])?),
-                Step::Line => {}
-                Step::Part => break,
+                ScanStep::List => came.lists.push(parse(&self.text[taken..self.place.at])?),
+                ScanStep::Line => {}
+                ScanStep::Part => break,
             }
             taken = self.place.at;
         }
@@ -239,19 +239,20 @@
     }
 }
 
-/// How far a watch's text was looked through. Guards against a list that is read again with each piece of it: each
-/// byte is looked at once, and a list is parsed when its last bracket is there.
+/// Scan position in a watch's text. Each byte is scanned once, and a list is parsed when its last bracket has
+/// arrived, so that a list in many pieces is not parsed repeatedly.
 #[derive(Default)]
-struct Place {
+struct ScanState {
     at: usize,
-    /// The brackets that close those that are open, the innermost last.
+    /// Closing brackets of the open ones, the innermost last.
     open: Vec<u8>,
     quoted: bool,
     escaped: bool,
 }
 
+/// Result of scanning some bytes.
 #[derive(PartialEq, Eq)]
-enum Step {
+enum ScanStep {
     /// A list ends here.
     List,
     /// A line ends here, between two lists.
@@ -259,8 +260,8 @@
     Part,
 }
 
-impl Place {
-    fn step(&mut self, text: &[u8]) -> Result<Step, String> {
+impl ScanState {
+    fn step(&mut self, text: &[u8]) -> Result<ScanStep, String> {
         while let Some(byte) = text.get(self.at) {
             self.at += 1;
             match byte {
@@ -270,21 +271,21 @@
                 0..0x20 if self.quoted => return Err("not JSON: a line ends within quotes".into()),
                 _ if self.quoted => {}
                 b'{' => self.open.push(b'}'),
-                b'\n' if self.open.is_empty() => return Ok(Step::Line),
+                b'\n' if self.open.is_empty() => return Ok(ScanStep::Line),
                 b' ' | b'\t' | b'\r' => {}
                 _ if self.open.is_empty() => return Err("not JSON: no list begins here".into()),
                 b'[' => self.open.push(b']'),
                 b'}' | b']' if self.open.pop() != Some(*byte) => {
                     return Err("not JSON: a bracket does not close the one before".into());
                 }
-                b'}' | b']' if self.open.is_empty() => return Ok(Step::List),
+                b'}' | b']' if self.open.is_empty() => return Ok(ScanStep::List),
                 _ => {}
             }
-            if self.open.len() > DEEP_MOST {
+            if self.open.len() > MAX_NESTING {
                 return Err("not JSON: it is nested too deeply".into());
             }
         }
-        Ok(Step::Part)
+        Ok(ScanStep::Part)
     }
 }
 
--- a/crates/gateway/src/wire/directory/tests.rs
+++ b/crates/gateway/src/wire/directory/tests.rs
@@ -1,4 +1,4 @@
-//! Discovery's answers as they come in, whole and spoilt.
+//! Responses of discovery, valid and invalid, in pieces.
 
 use std::io::Write;
 use std::net::TcpListener;
@@ -18,11 +18,11 @@
     format!(r#"{{"seq":{version},"whole":true,"hosts":[{}]}}"#, ENTRY.replace('\n', ""))
 }
 
-fn versions(came: &Came) -> Vec<u64> {
+fn versions(came: &Received) -> Vec<u64> {
     came.lists.iter().map(|list| list.version).collect()
 }
 
-/// Both ends of a connection; the gateway's never blocks.
+/// Both ends of a connection; the gateway's end is non-blocking.
 fn connection() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let ours = TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
@@ -30,21 +30,21 @@
     (ours, listener.accept().expect("a connection").0)
 }
 
-/// Reads until the answer is over, within a bound: who reads on for ever fails here.
-fn read_out(since: Option<u64>, stream: TcpStream) -> (Result<Stands, String>, Came) {
+/// Reads to the end of the response within a limit: fails if reading never ends.
+fn read_out(since: Option<u64>, stream: TcpStream) -> (Result<ResponseState, String>, Received) {
     let (done, over) = mpsc::channel();
     std::thread::spawn(move || {
-        let mut answer = Answer::new(([127, 0, 0, 1], 9).into(), since);
-        let mut all = Came::default();
+        let mut answer = Response::new(([127, 0, 0, 1], 9).into(), since);
+        let mut all = Received::default();
         loop {
-            let mut came = Came::default();
+            let mut came = Received::default();
             let read = answer.read(&stream, &mut came);
-            assert!(came.lists.len() <= LISTS_A_TURN, "too much at a turn");
+            assert!(came.lists.len() <= LISTS_PER_TURN, "too much at a turn");
             all.lists.extend(came.lists);
             all.whole |= came.whole;
             match read {
-                Ok(Stands::Open) => std::thread::sleep(Duration::from_millis(1)),
-                Ok(Stands::More) => {}
+                Ok(ResponseState::Open) => std::thread::sleep(Duration::from_millis(1)),
+                Ok(ResponseState::More) => {}
                 read => return drop(done.send((read, all))),
             }
         }
@@ -52,7 +52,7 @@
     over.recv_timeout(Duration::from_secs(20)).expect("it ends")
 }
 
-/// Guards against a part that is taken for the whole: a reset is no end, and an end within a list is none either.
+/// An incomplete response must not be used: neither a reset nor an end within a list completes it.
 #[test]
 fn what_breaks_off_is_not_taken() {
     let list = list(41);
@@ -66,7 +66,7 @@
         (None, format!("{HEAD}{list}"), true, false, 0),
         (None, format!("{HEAD}{half}"), false, false, 0),
         (None, length(0), false, true, 1),
-        // It was whole before.
+        // It was complete before.
         (None, length(0), true, true, 1),
         (None, length(1), false, false, 0),
         (None, length(1), true, false, 0),
@@ -84,7 +84,7 @@
     ] {
         let (mut ours, mut theirs) = connection();
         if reset {
-            // Closed over what it has not read, a connection is reset.
+            // Closing with unread data resets the connection.
             ours.write_all(b"?").expect("a connection");
             theirs.peek(&mut [0]).expect("a byte");
         }
@@ -95,10 +95,10 @@
     }
 }
 
-/// Guards against bytes that are looked at again and again and never used up, with all traffic waiting.
+/// Bytes that are scanned repeatedly and never consumed would block all traffic.
 #[test]
 fn what_never_ends_is_not_read_for_ever() {
-    let junk = "x".repeat(4 * HEAD_MOST);
+    let junk = "x".repeat(4 * MAX_HEAD_BYTES);
     let list = list(41);
     let length = list.len();
     for (bytes, well) in [
@@ -114,7 +114,7 @@
     }
 }
 
-/// Guards against a flood that keeps the thread to itself; what was left over comes at the next turns, in order.
+/// A flood must not monopolise the thread; the rest is handled in later turns, in order.
 #[test]
 fn each_turn_has_its_bound() {
     let (ours, mut theirs) = connection();
@@ -125,20 +125,20 @@
         }
     });
     let (read, came) = read_out(Some(40), ours);
-    assert_eq!((read, versions(&came)), (Ok(Stands::Ended), (41..1_041).collect()));
+    assert_eq!((read, versions(&came)), (Ok(ResponseState::Ended), (41..1_041).collect()));
     let (ours, mut theirs) = connection();
     let flood = std::thread::spawn(move || {
         let _ = theirs.write_all(HEAD.as_bytes());
         // It ends when nobody reads on.
         while theirs.write_all(&[b'\n'; 65_536]).is_ok() {}
     });
-    let mut answer = Answer::new(([127, 0, 0, 1], 9).into(), Some(40));
+    let mut answer = Response::new(([127, 0, 0, 1], 9).into(), Some(40));
     let mut turns = 0;
     while turns < 3 {
-        let mut came = Came::default();
+        let mut came = Received::default();
         match answer.read(&ours, &mut came) {
-            Ok(Stands::Open) => {}
-            Ok(Stands::More) => turns += 1,
+            Ok(ResponseState::Open) => {}
+            Ok(ResponseState::More) => turns += 1,
             other => panic!("{other:?}"),
         }
     }
@@ -146,47 +146,47 @@
     flood.join().expect("it ends");
 }
 
-/// Guards against a list that is parsed again with each of its pieces, which takes the square of its length.
+/// A list parsed again with each piece would take quadratic time.
 #[test]
 fn a_long_list_in_many_pieces_is_parsed_once() {
     let hosts = vec![ENTRY.replace('\n', "\n\n"); 4_000].join(",\n");
     let text = format!("{{\"seq\":41,\"whole\":true,\"hosts\":[{hosts}]}}\n");
     let began = Instant::now();
-    let mut answer = Answer::new(([127, 0, 0, 1], 9).into(), Some(40));
-    let mut came = Came::default();
-    answer.inbox.put(HEAD.as_bytes());
+    let mut answer = Response::new(([127, 0, 0, 1], 9).into(), Some(40));
+    let mut came = Received::default();
+    answer.inbox.append(HEAD.as_bytes());
     for part in text.as_bytes().split_inclusive(|byte| *byte == b'\n') {
-        answer.inbox.put(part);
+        answer.inbox.append(part);
         answer.take(&mut came).expect("it parses");
     }
     assert_eq!((came.lists.len(), came.lists[0].servers.len()), (1, 4_000));
     assert!(began.elapsed() < Duration::from_secs(20), "{:?}", began.elapsed());
 }
 
-/// Brackets and quotes in texts end no list; what can't go on to be a list is told at once.
+/// Brackets and quotes in strings do not end a list; invalid text is reported at once.
 #[test]
 fn a_watch_finds_where_its_lists_end() {
     let name = r#""s1\\\"]}{[\\""#;
     let text = list(41).replace("\"s1\"", name);
-    let mut answer = Answer::new(([127, 0, 0, 1], 9).into(), Some(40));
-    let mut came = Came::default();
-    answer.inbox.put(format!("{HEAD}{text}{text} \r\n{text}").as_bytes());
+    let mut answer = Response::new(([127, 0, 0, 1], 9).into(), Some(40));
+    let mut came = Received::default();
+    answer.inbox.append(format!("{HEAD}{text}{text} \r\n{text}").as_bytes());
     answer.take(&mut came).expect("it parses");
     assert_eq!((came.lists.len(), came.lists[2].servers[0].name.as_str()), (3, "s1\\\"]}{[\\"));
     for (part, signs) in
         [("", false), (" ", false), ("\n", true), ("\r\n", true), ("{", false), ("{\n\n", false)]
     {
-        let mut answer = Answer::new(([127, 0, 0, 1], 9).into(), Some(40));
-        let mut came = Came::default();
-        answer.inbox.put(format!("{HEAD}{part}").as_bytes());
+        let mut answer = Response::new(([127, 0, 0, 1], 9).into(), Some(40));
+        let mut came = Received::default();
+        answer.inbox.append(format!("{HEAD}{part}").as_bytes());
         answer.take(&mut came).expect("it may go on");
         assert_eq!(came.whole, signs, "{part:?}");
     }
     for broken in ["x", "4", "\"", "]", "[", "{\"a", "{]", "{\"hosts\":[}", "{\"a\n", &"{\"a\":[".repeat(100)]
     {
-        let mut answer = Answer::new(([127, 0, 0, 1], 9).into(), Some(40));
-        answer.inbox.put(format!("{HEAD}{broken}").as_bytes());
-        let told = answer.take(&mut Came::default()).is_err();
+        let mut answer = Response::new(([127, 0, 0, 1], 9).into(), Some(40));
+        answer.inbox.append(format!("{HEAD}{broken}").as_bytes());
+        let told = answer.take(&mut Received::default()).is_err();
         assert_eq!(told, broken != "{\"a", "{broken}");
     }
 }
@@ -201,10 +201,10 @@
     let bytes =
         format!("HTTP/1.1 200 OK\r\ntransfer-encoding: Chunked\r\n\r\n{}{}", chunk(first), chunk(second));
     for split in 0..bytes.len() {
-        let mut answer = Answer::new(([127, 0, 0, 1], 9).into(), Some(40));
-        let mut came = Came::default();
+        let mut answer = Response::new(([127, 0, 0, 1], 9).into(), Some(40));
+        let mut came = Received::default();
         for part in [&bytes[..split], &bytes[split..]] {
-            answer.inbox.put(part.as_bytes());
+            answer.inbox.append(part.as_bytes());
             answer.take(&mut came).expect("it parses");
         }
         let lists = came.lists;
@@ -215,7 +215,7 @@
     }
 }
 
-/// Guards against a watch that takes each line for a list.
+/// A line of an indented list is not a whole list.
 #[test]
 fn an_indented_list_is_read_the_same_however_it_is_split() {
     let text = format!(r#"{{"seq":41,"whole":false,"hosts":[{ENTRY}]}}"#);
@@ -223,10 +223,10 @@
     let body = format!("\n{:#}\n\n{json}\n", json).repeat(2);
     let bytes = format!("HTTP/1.1 200 OK\r\n\r\n{body}");
     for split in 0..bytes.len() {
-        let mut answer = Answer::new(([127, 0, 0, 1], 9).into(), Some(40));
-        let mut came = Came::default();
+        let mut answer = Response::new(([127, 0, 0, 1], 9).into(), Some(40));
+        let mut came = Received::default();
         for part in [&bytes[..split], &bytes[split..]] {
-            answer.inbox.put(part.as_bytes());
+            answer.inbox.append(part.as_bytes());
             answer.take(&mut came).expect("it parses");
         }
         let lists = came.lists;
@@ -234,9 +234,9 @@
         assert!(answer.text.is_empty());
     }
     for broken in ["{\"seq\":41,\n\"whole\"\n}\n", "nothing\n", "{}\n"] {
-        let mut answer = Answer::new(([127, 0, 0, 1], 9).into(), Some(40));
-        answer.inbox.put(format!("HTTP/1.1 200 OK\r\n\r\n{broken}").as_bytes());
-        assert!(answer.take(&mut Came::default()).is_err(), "{broken}");
+        let mut answer = Response::new(([127, 0, 0, 1], 9).into(), Some(40));
+        answer.inbox.append(format!("HTTP/1.1 200 OK\r\n\r\n{broken}").as_bytes());
+        assert!(answer.take(&mut Received::default()).is_err(), "{broken}");
     }
 }
 
@@ -269,18 +269,18 @@
         ("HTTP/1.1 500 No\r\n\r\n".into(), "500"),
         ("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n".into(), "length"),
         ("HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n".into(), "gzip"),
-        (format!("HTTP/1.1 200 OK\r\nA: {}", "x".repeat(HEAD_MOST)), "head is too long"),
-        (format!("HTTP/1.1 200 OK\r\n\r\n{}", "x".repeat(LIST_MOST + 1)), "list is too long"),
-        (format!("{}1;{}", CHUNKED, "x".repeat(HEAD_MOST)), "first line is too long"),
+        (format!("HTTP/1.1 200 OK\r\nA: {}", "x".repeat(MAX_HEAD_BYTES)), "head is too long"),
+        (format!("HTTP/1.1 200 OK\r\n\r\n{}", "x".repeat(MAX_LIST_BYTES + 1)), "list is too long"),
+        (format!("{}1;{}", CHUNKED, "x".repeat(MAX_HEAD_BYTES)), "first line is too long"),
         (format!("{CHUNKED}400001\r\n"), "chunk is too long"),
         (format!("{CHUNKED}11111111111111111\r\n"), "chunk size"),
         ("HTTP/1.1 503 No\r\n\r\n".into(), "503"),
         ("SSH-2.0\r\n\r\n".into(), "HTTP"),
         ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nx\r\n".into(), "chunk"),
     ] {
-        let mut reading = Answer::new(([127, 0, 0, 1], 9).into(), None);
-        reading.inbox.put(bytes.as_bytes());
-        let mut came = Came::default();
+        let mut reading = Response::new(([127, 0, 0, 1], 9).into(), None);
+        reading.inbox.append(bytes.as_bytes());
+        let mut came = Received::default();
         let said = reading.take(&mut came).err().unwrap_or_default();
         assert!(said.contains(part) && (part.is_empty() == (came.lists.len() == 1)), "{bytes}: {said}");
     }
--- a/crates/gateway/src/wire/frames.rs
+++ b/crates/gateway/src/wire/frames.rs
@@ -1,26 +1,26 @@
-//! PostgreSQL's messages, protocol 3.0: taken apart in place, and put together.
+//! PostgreSQL messages, protocol 3.0: parsed in place and encoded.
 
-/// A message with its kind: where its body starts.
-pub const HEAD: usize = 5;
+/// Bytes before the body of a message: type and length.
+pub const HEADER_BYTES: usize = 5;
 
 pub const READY: &[u8] = b"Z\0\0\0\x05I";
 pub const EMPTY_QUERY: &[u8] = b"I\0\0\0\x04";
-/// AuthenticationOk and what drivers expect to be told at the start.
+/// AuthenticationOk and the parameters that drivers expect at startup.
 pub const WELCOME: &[u8] = b"R\0\0\0\x08\0\0\0\0\
     S\0\0\0\x18server_version\x0015.0\0\
     S\0\0\0\x19client_encoding\0UTF8\0\
     S\0\0\0\x23standard_conforming_strings\0on\0";
 pub const PROBE: &[u8] = b"Q\0\0\0\x0dSELECT 1\0";
 pub const REPORT_PROBE: &[u8] = b"Q\0\0\0\x10SHOW health\0";
-/// The startup message to a server: user svc, database main.
+/// Startup message to a server: user svc, database main.
 pub const START: &[u8] = b"\0\0\0\x20\0\x03\0\0user\0svc\0database\0main\0\0";
 
 fn number(bytes: &[u8]) -> Option<u32> {
     Some(u32::from_be_bytes(bytes.get(..4)?.try_into().ok()?))
 }
 
-/// The first message as its kind and whole length. Ok(None): it has not come in whole. Err: its length is beyond
-/// `most` or makes no sense; the length is told where the message can be skipped.
+/// Type and length of the first message. `Ok(None)`: incomplete. `Err`: its length exceeds `most` or is invalid;
+/// contains the length if the message can be skipped.
 pub fn first(input: &[u8], most: usize) -> Result<Option<(u8, usize)>, Option<usize>> {
     let (Some(kind), Some(length)) = (input.first(), input.get(1..).and_then(number)) else {
         return Ok(None);
@@ -35,7 +35,7 @@
     Ok((input.len() > length).then_some((*kind, length + 1)))
 }
 
-/// What a client may say before a session: its code and whole length.
+/// First message of a client before a session: its code and length.
 pub fn opening(input: &[u8], most: usize) -> Result<Option<(u32, usize)>, ()> {
     let Some(length) = number(input) else { return Ok(None) };
     let length = length as usize;
@@ -53,13 +53,13 @@
     Some((std::str::from_utf8(&bytes[..end]).ok()?, &bytes[end + 1..]))
 }
 
-/// The name and value of a ParameterStatus.
+/// Name and value of a ParameterStatus.
 pub fn parameter(body: &[u8]) -> Option<(&str, &str)> {
     let (name, rest) = text(body)?;
     Some((name, text(rest)?.0))
 }
 
-/// The code of an ErrorResponse; None: its fields don't fit it, or none is a code.
+/// SQLSTATE of an ErrorResponse; `None` if it is malformed or has no code.
 pub fn error_code(mut body: &[u8]) -> Option<&str> {
     let mut code = None;
     while let Some((field, rest)) = body.split_first().filter(|(field, _)| **field != 0) {
@@ -72,14 +72,14 @@
     code.filter(|_| body == [0])
 }
 
-/// Whether a RowDescription tells of one column and of nothing more.
+/// Whether a RowDescription describes exactly one column.
 pub fn is_one_column(body: &[u8]) -> bool {
-    // Behind the name: table, place in it, type, its size and modifier, format.
+    // After the name: table, column number, type, its size and modifier, format.
     let about = body.strip_prefix(&[0, 1]).and_then(text);
     about.is_some_and(|(_, about)| about.len() == 18)
 }
 
-/// The value of a DataRow of one column, empty where it is NULL; None: its lengths don't fit.
+/// Value of a DataRow with one column, empty if NULL; `None` if malformed.
 pub fn column(body: &[u8]) -> Option<&[u8]> {
     let rest = body.strip_prefix(&[0, 1])?;
     let (length, value) = (number(rest)?, &rest[4..]);
@@ -87,12 +87,12 @@
     fits.then_some(value)
 }
 
-/// Whether a CommandComplete ends a statement that gave one row.
+/// Whether a CommandComplete reports one row.
 pub fn is_one_row(body: &[u8]) -> bool {
     matches!(body, b"SELECT 1\0" | b"INSERT 0 1\0" | b"SHOW\0")
 }
 
-/// An ErrorResponse; `detail` goes into field D.
+/// Encodes an ErrorResponse; `detail` is field D.
 pub fn error(severity: &str, code: &str, message: &str, detail: Option<&str>) -> Vec<u8> {
     let fields = [(b'S', Some(severity)), (b'V', Some(severity)), (b'C', Some(code)), (b'M', Some(message))];
     let mut out = vec![b'E', 0, 0, 0, 0];
@@ -126,11 +126,11 @@
         ) {
             match first(&bytes, most) {
                 Ok(Some((kind, length))) => {
-                    prop_assert!(kind == bytes[0] && (HEAD..=most).contains(&length) && length <= bytes.len())
+                    prop_assert!(kind == bytes[0] && (HEADER_BYTES..=most).contains(&length) && length <= bytes.len())
                 }
                 Ok(None) => {}
                 Err(Some(length)) => prop_assert!(length > most),
-                Err(None) => prop_assert!(bytes.len() >= HEAD),
+                Err(None) => prop_assert!(bytes.len() >= HEADER_BYTES),
             }
             if let Ok(Some((_, length))) = opening(&bytes, most) {
                 prop_assert!((8..=most).contains(&length) && length <= bytes.len());
@@ -147,7 +147,7 @@
         for (message, detail) in [("no", None), ("", Some("200")), ("'id' is no word", Some(""))] {
             let written = error("ERROR", "53300", message, detail);
             assert_eq!(first(&written, 1_000), Ok(Some((b'E', written.len()))));
-            assert_eq!(error_code(&written[HEAD..]), Some("53300"));
+            assert_eq!(error_code(&written[HEADER_BYTES..]), Some("53300"));
         }
     }
 }
--- a/crates/gateway/src/wire/mod.rs
+++ b/crates/gateway/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! What is spoken: PostgreSQL's messages, discovery's HTTP, datagrams.
+//! Protocols: PostgreSQL messages, discovery over HTTP, datagrams.
 
 pub mod bytes;
 pub mod client;
--- a/crates/gateway/src/wire/server.rs
+++ b/crates/gateway/src/wire/server.rs
@@ -1,4 +1,4 @@
-//! A connection to a server: its startup, one statement at a time, and what the server says.
+//! Server connection: startup, one statement at a time, and its answer.
 
 use std::net::TcpStream;
 use std::ops::Range;
@@ -8,95 +8,96 @@
 use tansyjunction::interface::{DispatchEnd, Micros, Report};
 use tansyjunction_hosting::{Timer, micros_from_millis};
 
-use crate::wire::bytes::{Inbox, Outbox, Reading};
+use crate::wire::bytes::{Inbox, Outbox, ReadResult};
 use crate::wire::frames;
 
-/// A value of 64 KiB with its head; a longer message is nonsense.
-const MESSAGE_MOST: usize = 65_536 + 256;
-/// A whole answer: one such message, and the short ones round it.
-const ANSWER_MOST: usize = 65_536 + 8_192;
-/// Beyond this no server's figure makes sense (as a Unix time in milliseconds: in the year 5138).
-const FAR: u64 = 100_000_000_000_000;
+/// Longest valid message: a value of 64 KiB with its header.
+const MAX_MESSAGE_BYTES: usize = 65_536 + 256;
+/// Longest answer: one such message with the short ones around it.
+const MAX_ANSWER_BYTES: usize = 65_536 + 8_192;
+/// Largest valid number from a server (as Unix time in milliseconds: the year 5138).
+const MAX_VALUE: u64 = 100_000_000_000_000;
 
+/// State of the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// The connection is being opened.
+    /// It is being opened.
     Connecting,
-    /// The startup message is out.
+    /// The startup message was sent.
     Starting,
     /// Ready for a statement.
     Ready,
-    /// A statement is out.
+    /// A statement is in progress.
     Busy,
 }
 
-/// What a connection is at work for.
+/// What a connection is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Job {
     Command { command: u64, dispatch: usize },
     Probe,
 }
 
-/// What the server said since the statement.
+/// The server's answer since the statement.
 #[derive(Default)]
-pub struct Said {
+pub struct ServerAnswer {
     pub ending: Option<DispatchEnd>,
     pub stated: Report,
     pub report: Option<Report>,
-    /// The report that the row holds, where a probe asked for it.
+    /// Load report in the row, if a probe requested one.
     pub row: Option<Report>,
-    /// When the answer was whole.
+    /// When the answer was complete.
     pub at: Option<Micros>,
 }
 
-/// What was heard last.
+/// Result of reading messages.
 #[derive(Debug, PartialEq)]
-pub enum Heard {
+pub enum Event {
     Nothing,
-    /// The startup is over.
+    /// The startup is complete.
     Ready,
-    /// The answer is whole; its bytes are at this place of the inbox.
+    /// The answer is complete, at these ranges of the inbox.
     Answer(Vec<Range<usize>>),
     /// Ready for the next statement.
     Done,
-    /// It makes no sense.
-    Nonsense,
+    /// Invalid data.
+    Invalid,
 }
 
-/// What passes between the gateway and a server on one connection, whatever carries it.
-pub struct Talk {
+/// Protocol state of a server connection, independent of the transport.
+pub struct ProtocolState {
     pub phase: Phase,
     pub inbox: Inbox,
-    pub said: Said,
-    /// The messages of the answer so far, and how far the inbox was looked through.
+    pub said: ServerAnswer,
+    /// Ranges of the answer's messages so far, and how far the inbox was scanned.
     answer: Vec<Range<usize>>,
     looked: usize,
 }
 
-impl Default for Talk {
+impl Default for ProtocolState {
     fn default() -> Self {
-        Talk {
+        ProtocolState {
             phase: Phase::Connecting,
             inbox: Inbox::default(),
-            said: Said::default(),
+            said: ServerAnswer::default(),
             answer: Vec::new(),
             looked: 0,
         }
     }
 }
 
-impl Talk {
-    /// Looks at the next messages, up to one that matters.
-    pub fn hear(&mut self, now: Micros) -> Heard {
+impl ProtocolState {
+    /// Handles messages up to the next significant one.
+    pub fn next_event(&mut self, now: Micros) -> Event {
         loop {
-            let (kind, length) = match frames::first(&self.inbox.rest()[self.looked..], MESSAGE_MOST) {
+            let (kind, length) = match frames::first(&self.inbox.rest()[self.looked..], MAX_MESSAGE_BYTES) {
                 Ok(Some(first)) => first,
-                Ok(None) => return Heard::Nothing,
-                Err(_) => return Heard::Nonsense,
+                Ok(None) => return Event::Nothing,
+                Err(_) => return Event::Invalid,
             };
             let here = self.looked..self.looked + length;
             self.looked = here.end;
-            let body = &self.inbox.rest()[here.start + frames::HEAD..here.end];
+            let body = &self.inbox.rest()[here.start + frames::HEADER_BYTES..here.end];
             match (self.phase, kind) {
                 (_, b'N') | (Phase::Starting, b'K') => {}
                 (_, b'S') => self.said.parameter(body),
@@ -104,25 +105,25 @@
                 (Phase::Starting, b'Z') => {
                     self.phase = Phase::Ready;
                     self.drop_looked();
-                    return Heard::Ready;
+                    return Event::Ready;
                 }
                 (Phase::Starting, b'E') => {
-                    // Turned away before it was asked anything; else it was just not reached.
-                    let ending = frames::error_code(body).map(ending_of);
+                    // Rejected before a statement was sent; otherwise the server was just not reached.
+                    let ending = frames::error_code(body).map(end_by_code);
                     self.said.ending = ending.filter(|ending| *ending == DispatchEnd::SentBack);
-                    return Heard::Nonsense;
+                    return Event::Invalid;
                 }
                 (Phase::Busy, b'E') if self.said.ending.is_none() => {
-                    let Some(code) = frames::error_code(body) else { return Heard::Nonsense };
-                    self.said.ending = Some(ending_of(code));
+                    let Some(code) = frames::error_code(body) else { return Event::Invalid };
+                    self.said.ending = Some(end_by_code(code));
                     self.said.at = Some(now);
                 }
                 (Phase::Busy, b'T') if self.answer.is_empty() && frames::is_one_column(body) => {
                     self.answer.push(here)
                 }
                 (Phase::Busy, b'D') if self.answer.len() == 1 => {
-                    let Some(value) = frames::column(body) else { return Heard::Nonsense };
-                    self.said.row = std::str::from_utf8(value).ok().and_then(report);
+                    let Some(value) = frames::column(body) else { return Event::Invalid };
+                    self.said.row = std::str::from_utf8(value).ok().and_then(parse_report);
                     self.answer.push(here);
                 }
                 (Phase::Busy, b'C')
@@ -131,14 +132,14 @@
                     self.answer.push(here);
                     self.said.ending = Some(DispatchEnd::Answered);
                     self.said.at = Some(now);
-                    return Heard::Answer(self.answer.clone());
+                    return Event::Answer(self.answer.clone());
                 }
                 (Phase::Busy, b'Z') if self.said.ending.is_some() => {
                     self.phase = Phase::Ready;
                     self.drop_looked();
-                    return Heard::Done;
+                    return Event::Done;
                 }
-                _ => return Heard::Nonsense,
+                _ => return Event::Invalid,
             }
         }
     }
@@ -150,36 +151,37 @@
     }
 }
 
-/// A connection to a server.
-pub struct Line {
+/// A server connection.
+pub struct ServerConnection {
     pub server: usize,
     pub stream: Rc<TcpStream>,
     pub token: RegistrationToken,
-    pub talk: Talk,
+    pub protocol: ProtocolState,
     pub outbox: Outbox,
     pub job: Option<Job>,
-    /// When it was last without a job, and when the statement was written.
-    pub rested: Micros,
+    /// When it last became idle, and when the statement was written.
+    pub idle_since: Micros,
     pub written: Option<Micros>,
-    /// When it is given up, or closed if it idles.
+    /// Timeout of the connection, or end of its idle time.
     pub due: Timer,
-    /// When its job is given up, which may be later while the connection is being opened.
+    /// Timeout of its job, which may be later while the connection is being opened.
     pub job_due: Micros,
     pub ended: bool,
-    /// It stands for one that broke while it was opened, or is not to be opened once more.
+    /// Whether it replaces one that broke while being opened, or must not be replaced.
     pub reopened: bool,
 }
 
-impl Line {
+impl ServerConnection {
+    /// Creates a connection that is being opened.
     pub fn new(server: usize, stream: Rc<TcpStream>, token: RegistrationToken, now: Micros) -> Self {
-        Line {
+        ServerConnection {
             server,
             stream,
             token,
-            talk: Talk::default(),
+            protocol: ProtocolState::default(),
             outbox: Outbox::default(),
             job: None,
-            rested: now,
+            idle_since: now,
             written: None,
             due: Timer::default(),
             job_due: 0,
@@ -188,27 +190,27 @@
         }
     }
 
-    /// Reads what is there.
+    /// Reads available data.
     pub fn read(&mut self) {
-        self.ended |= self.talk.inbox.read(&self.stream, ANSWER_MOST) != Reading::Dry;
+        self.ended |= self.protocol.inbox.read(&self.stream, MAX_ANSWER_BYTES) != ReadResult::Drained;
     }
 
-    /// Whether an idle connection is still good: nothing was said, and the server has not ended it.
+    /// Whether an idle connection is usable: no data arrived, and the server has not closed it.
     pub fn is_quiet(&mut self) -> bool {
         self.read();
-        !self.ended && self.talk.inbox.rest().is_empty()
+        !self.ended && self.protocol.inbox.rest().is_empty()
     }
 }
 
-impl Said {
-    /// How a job ended: as the server said, or else by what happened to the connection.
+impl ServerAnswer {
+    /// How a job ended: as the server answered, or else by what happened to the connection.
     pub fn ending_by(&self, probe: bool, written: bool, happened: DispatchEnd) -> DispatchEnd {
         match self.ending {
             Some(ending) => ending,
-            // Guards against a probe that found no way through in its time being told as a refused connection, which
-            // keeps a member shut after the way is back.
+            // A probe that timed out while connecting is not a refused connection, which would keep the member out
+            // after the network recovers.
             None if probe && happened == DispatchEnd::TimedOut => happened,
-            // What was not written whole can't have run.
+            // An incompletely written statement cannot have executed.
             None if !written && happened != DispatchEnd::Unsent => DispatchEnd::Unconnected,
             None => happened,
         }
@@ -220,16 +222,16 @@
             Some(("recovery", "on")) => self.stated.primary = Some(false),
             Some(("lsn_ms", value)) => {
                 self.stated.position =
-                    value.parse().ok().filter(|ms| (1..FAR).contains(ms)).map(micros_from_millis)
+                    value.parse().ok().filter(|ms| (1..MAX_VALUE).contains(ms)).map(micros_from_millis)
             }
-            Some(("health", value)) => self.report = report(value).or(self.report),
+            Some(("health", value)) => self.report = parse_report(value).or(self.report),
             _ => {}
         }
     }
 }
 
-/// How a dispatch ended by the code of its error.
-fn ending_of(code: &str) -> DispatchEnd {
+/// End of a dispatch by its SQLSTATE.
+fn end_by_code(code: &str) -> DispatchEnd {
     match code {
         "25006" | "72000" => DispatchEnd::Missed,
         "53300" => DispatchEnd::SentBack,
@@ -237,15 +239,15 @@
     }
 }
 
-/// A load report; None: it names nothing known, or holds what can't be read, so that the rest is no evidence either.
-fn report(text: &str) -> Option<Report> {
+/// Parses a load report; `None` if it has no known value or an invalid one, since then the rest is unreliable too.
+fn parse_report(text: &str) -> Option<Report> {
     let mut report = Report::default();
     for part in text.split(',') {
         let (name, value) = part.split_once('=')?;
-        let value = value.trim().parse::<f64>().ok().filter(|value| value.abs() < FAR as f64)?;
+        let value = value.trim().parse::<f64>().ok().filter(|value| value.abs() < MAX_VALUE as f64)?;
         match name.trim() {
-            // Seconds of Unix time.
-            "x0" => report.position = Some((value.clamp(0.0, FAR as f64 / 1e3) * 1e6) as Micros),
+            // Unix time in seconds.
+            "x0" => report.position = Some((value.clamp(0.0, MAX_VALUE as f64 / 1e3) * 1e6) as Micros),
             "x1" => report.primary = Some(value == 1.0),
             "queue" | "pending" => report.queue = Some(value),
             "util" | "cpu_share" => report.busy = Some(value),
@@ -263,7 +265,7 @@
         [&[kind][..], &(body.len() as u32 + 4).to_be_bytes(), body].concat()
     }
 
-    /// One column named v.
+    /// RowDescription of one column named v.
     const COLUMN: &[u8] = b"\0\x01v\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01";
 
     #[test]
@@ -274,20 +276,20 @@
         let health = message(b'S', b"health\0x0=1767225600.5,x1=0,pending=3\0");
         let bytes = [row.clone(), told, health, message(b'Z', b"I")].concat();
         for split in 0..bytes.len() {
-            let mut talk = Talk { phase: Phase::Busy, ..Talk::default() };
+            let mut talk = ProtocolState { phase: Phase::Busy, ..ProtocolState::default() };
             let mut heard = Vec::new();
             for part in [&bytes[..split], &bytes[split..]] {
-                talk.inbox.put(part);
+                talk.inbox.append(part);
                 loop {
-                    match talk.hear(7) {
-                        Heard::Nothing => break,
-                        Heard::Answer(parts) => {
+                    match talk.next_event(7) {
+                        Event::Nothing => break,
+                        Event::Answer(parts) => {
                             let whole: Vec<u8> =
                                 parts.iter().flat_map(|p| talk.inbox.rest()[p.clone()].to_vec()).collect();
                             assert_eq!(whole, row, "split at {split}");
                             heard.push("answer");
                         }
-                        Heard::Done => heard.push("done"),
+                        Event::Done => heard.push("done"),
                         other => panic!("split at {split}: {other:?}"),
                     }
                 }
@@ -315,13 +317,13 @@
             ("x0=-5", Some(0), None),
             ("x0=1767225600.5,queue=x", None, None),
             ("%%%,queue=2", None, None),
-            ("x0=9e13", Some(FAR * 1_000), None),
+            ("x0=9e13", Some(MAX_VALUE * 1_000), None),
         ] {
-            let report = report(text).unwrap_or_default();
+            let report = parse_report(text).unwrap_or_default();
             assert_eq!((report.position, report.queue), (position, queue), "{text}");
         }
         for (text, position) in [("7", Some(7_000)), ("0", None), ("-7", None), ("99999999999999999", None)] {
-            let mut said = Said::default();
+            let mut said = ServerAnswer::default();
             said.parameter(format!("lsn_ms\0{text}\0").as_bytes());
             assert_eq!(said.stated.position, position, "{text}");
         }
@@ -330,7 +332,7 @@
     #[test]
     fn what_was_not_said_is_told_by_the_connection() {
         use DispatchEnd::*;
-        // What the server said, whether a probe, whether written whole, what happened, and the ending.
+        // The server's answer, whether it is a probe, whether completely written, what happened, and the expected end.
         for (said, probe, written, happened, ending) in [
             (None, false, true, TimedOut, TimedOut),
             (None, false, true, Reset, Reset),
@@ -344,7 +346,7 @@
             (Some(Answered), false, true, Reset, Answered),
             (Some(SentBack), false, false, Reset, SentBack),
         ] {
-            let heard = Said { ending: said, ..Said::default() };
+            let heard = ServerAnswer { ending: said, ..ServerAnswer::default() };
             let case = format!("{said:?} {probe} {written} {happened:?}");
             assert_eq!(heard.ending_by(probe, written, happened), ending, "{case}");
         }
@@ -361,49 +363,49 @@
         let whole = answer(COLUMN, one, done);
         let parts = vec![0..row.len(), row.len()..whole.len() - 14, whole.len() - 14..whole.len()];
         for (what, said, heard, ending) in [
-            ("a write at a replica", error("25006"), Heard::Done, Some(DispatchEnd::Missed)),
-            ("too far behind", error("72000"), Heard::Done, Some(DispatchEnd::Missed)),
-            ("an error", error("XX000"), Heard::Done, Some(DispatchEnd::Errored)),
-            ("another error", error("57P03"), Heard::Done, Some(DispatchEnd::Errored)),
+            ("a write at a replica", error("25006"), Event::Done, Some(DispatchEnd::Missed)),
+            ("too far behind", error("72000"), Event::Done, Some(DispatchEnd::Missed)),
+            ("an error", error("XX000"), Event::Done, Some(DispatchEnd::Errored)),
+            ("another error", error("57P03"), Event::Done, Some(DispatchEnd::Errored)),
             (
                 "an error half way",
                 [row.clone(), error("XX000")].concat(),
-                Heard::Done,
+                Event::Done,
                 Some(DispatchEnd::Errored),
             ),
-            ("turned away", error("53300"), Heard::Done, Some(DispatchEnd::SentBack)),
-            ("ready without an answer", vec![], Heard::Nonsense, None),
-            ("an answer without a row", [row, message(b'C', b"SELECT 0\0")].concat(), Heard::Nonsense, None),
-            ("a length below its own", b"E\0\0\0\x01".to_vec(), Heard::Nonsense, None),
-            ("a length beyond all", b"E\x7f\0\0\x01".to_vec(), Heard::Nonsense, None),
-            ("an empty error", message(b'E', b""), Heard::Nonsense, None),
-            ("an error without an end", message(b'E', b"C53300\0"), Heard::Nonsense, None),
-            ("an answer", whole.clone(), Heard::Answer(parts), Some(DispatchEnd::Answered)),
-            ("a row described as two", answer(b"\0\x02", one, done), Heard::Nonsense, None),
-            ("a description cut short", answer(&COLUMN[..15], one, done), Heard::Nonsense, None),
-            ("two columns", answer(COLUMN, b"\0\x02\0\0\0\x02hi", done), Heard::Nonsense, None),
+            ("turned away", error("53300"), Event::Done, Some(DispatchEnd::SentBack)),
+            ("ready without an answer", vec![], Event::Invalid, None),
+            ("an answer without a row", [row, message(b'C', b"SELECT 0\0")].concat(), Event::Invalid, None),
+            ("a length below its own", b"E\0\0\0\x01".to_vec(), Event::Invalid, None),
+            ("a length beyond all", b"E\x7f\0\0\x01".to_vec(), Event::Invalid, None),
+            ("an empty error", message(b'E', b""), Event::Invalid, None),
+            ("an error without an end", message(b'E', b"C53300\0"), Event::Invalid, None),
+            ("an answer", whole.clone(), Event::Answer(parts), Some(DispatchEnd::Answered)),
+            ("a row described as two", answer(b"\0\x02", one, done), Event::Invalid, None),
+            ("a description cut short", answer(&COLUMN[..15], one, done), Event::Invalid, None),
+            ("two columns", answer(COLUMN, b"\0\x02\0\0\0\x02hi", done), Event::Invalid, None),
             (
                 "a value longer than its row",
                 answer(COLUMN, b"\0\x01\0\0\0\x03hi", done),
-                Heard::Nonsense,
+                Event::Invalid,
                 None,
             ),
             (
                 "a value shorter than its row",
                 answer(COLUMN, b"\0\x01\0\0\0\x01hi", done),
-                Heard::Nonsense,
+                Event::Invalid,
                 None,
             ),
-            ("a value below zero", answer(COLUMN, b"\0\x01\xff\xff\xff\xffhi", done), Heard::Nonsense, None),
-            ("no value", answer(COLUMN, b"\0\x01\0", done), Heard::Nonsense, None),
-            ("another tag", answer(COLUMN, one, b"SELECT 2\0"), Heard::Nonsense, None),
-            ("a tag without an end", answer(COLUMN, one, b"SELECT 1"), Heard::Nonsense, None),
-            ("a value beyond all", b"D\xb2\xd0\x5e\x0a\0\x01".to_vec(), Heard::Nonsense, None),
-            ("a startup out of turn", message(b'R', &[0; 4]), Heard::Nonsense, None),
+            ("a value below zero", answer(COLUMN, b"\0\x01\xff\xff\xff\xffhi", done), Event::Invalid, None),
+            ("no value", answer(COLUMN, b"\0\x01\0", done), Event::Invalid, None),
+            ("another tag", answer(COLUMN, one, b"SELECT 2\0"), Event::Invalid, None),
+            ("a tag without an end", answer(COLUMN, one, b"SELECT 1"), Event::Invalid, None),
+            ("a value beyond all", b"D\xb2\xd0\x5e\x0a\0\x01".to_vec(), Event::Invalid, None),
+            ("a startup out of turn", message(b'R', &[0; 4]), Event::Invalid, None),
         ] {
-            let mut talk = Talk { phase: Phase::Busy, ..Talk::default() };
-            talk.inbox.put(&[said, message(b'Z', b"I")].concat());
-            assert_eq!(talk.hear(0), heard, "{what}");
+            let mut talk = ProtocolState { phase: Phase::Busy, ..ProtocolState::default() };
+            talk.inbox.append(&[said, message(b'Z', b"I")].concat());
+            assert_eq!(talk.next_event(0), heard, "{what}");
             assert_eq!(talk.said.ending, ending, "{what}");
         }
     }
--- a/crates/gateway/src/wire/statement.rs
+++ b/crates/gateway/src/wire/statement.rs
@@ -1,33 +1,33 @@
-//! What a command's statement says of it, read in place.
+//! Parses the parameters in a command's statement, in place.
 
 use std::ops::Range;
 
-/// A command as its statement tells it; ranges are places in the message.
+/// A command's parameters; ranges are positions in the message.
 #[derive(Debug, PartialEq)]
-pub struct Head<'a> {
+pub struct CommandHead<'a> {
     pub id: &'a str,
-    /// Whether it writes, and whether it holds a key by which repeats are dropped.
+    /// Whether it writes, and whether it has a deduplication key.
     pub writes: bool,
     pub keyed: bool,
     pub command_group: &'a str,
-    /// How long the client waits, in milliseconds, and where that stands.
+    /// Client timeout in milliseconds, and its position.
     pub wait: u64,
     pub wait_at: Range<usize>,
     pub group: &'a str,
-    /// The quoted key.
+    /// The quoted record key.
     pub key: &'a str,
-    /// The position, a Unix time in milliseconds, that a read must see.
+    /// Position (Unix time in milliseconds) that a read must see.
     pub after: Option<u64>,
 }
 
-/// No client waits longer, in milliseconds: a day.
-const WAIT_MOST: u64 = 86_400_000;
+/// Longest client timeout in milliseconds: a day.
+const MAX_TIMEOUT_MS: u64 = 86_400_000;
 
-/// Names in a comment; far more than there are.
-const NAMES_MOST: usize = 64;
+/// Most names in a comment; far more than exist.
+const MAX_NAMES: usize = 64;
 
-impl<'a> Head<'a> {
-    /// Reads a Query message, its kind and length included; Err tells what is wrong.
+impl<'a> CommandHead<'a> {
+    /// Parses a Query message including its type and length. `Err` says what is wrong.
     pub fn read(message: &'a [u8]) -> Result<Self, String> {
         let text = message.get(5..).and_then(|body| body.strip_suffix(b"\0")).unwrap_or_default();
         let text = std::str::from_utf8(text).map_err(|_| "the statement is not UTF-8")?;
@@ -66,8 +66,8 @@
             if names.contains(&name.trim()) {
                 return Err(format!("'{}' is given twice", name.trim()));
             }
-            // Guards against a comment of thousands of names, each compared with all before it.
-            if names.len() == NAMES_MOST {
+            // Each name is compared with all before it, so their number is limited.
+            if names.len() == MAX_NAMES {
                 return Err("the comment holds too many names".into());
             }
             names.push(name.trim());
@@ -87,11 +87,11 @@
             return Err("'id' is no word".into());
         }
         let (wait, wait_at) = wait.ok_or("'d' is missing")?;
-        if !(1..=WAIT_MOST).contains(&wait) {
+        if !(1..=MAX_TIMEOUT_MS).contains(&wait) {
             return Err("'d' is out of range".into());
         }
         let command_group = command_group.ok_or("'c' is missing")?;
-        Ok(Head {
+        Ok(CommandHead {
             id,
             writes,
             keyed,
@@ -105,12 +105,12 @@
     }
 }
 
-/// The message with another wait in its place, as the parts of one gathered write: `new` holds the changed ones.
+/// The message with another timeout, as parts of a vectored write; `new` holds the changed ones.
 pub fn rewritten<'a>(message: &'a [u8], wait_at: &Range<usize>, new: &'a ([u8; 5], String)) -> [&'a [u8]; 4] {
     [&new.0, &message[5..wait_at.start], new.1.as_bytes(), &message[wait_at.end..]]
 }
 
-/// The head and the wait that `rewritten` puts in.
+/// The header and timeout for [`rewritten`].
 pub fn new_wait(message: &[u8], wait_at: &Range<usize>, wait: u64) -> ([u8; 5], String) {
     let wait = wait.to_string();
     let length = (message.len() - 1 - wait_at.len() + wait.len()) as u32;
@@ -126,7 +126,7 @@
     use proptest::prelude::*;
     use proptest::test_runner::RngSeed;
 
-    /// Parts of which statements are made, and of which broken ones are.
+    /// Parts of valid statements, and of invalid ones.
     const PARTS: [&str; 24] = [
         "SELECT v FROM records WHERE k = '",
         "INSERT INTO records (k, v) VALUES ('",
@@ -154,15 +154,15 @@
         " ",
     ];
 
-    /// What was read fits into its message, and the message with another wait says the same.
+    /// Checks that the parsed ranges fit the message, and that the rewritten message parses to the same.
     fn holds_together(message: &[u8], new: u64) {
-        let Ok(head) = Head::read(message) else { return };
+        let Ok(head) = CommandHead::read(message) else { return };
         let wait = std::str::from_utf8(&message[head.wait_at.clone()]).expect("text");
         assert_eq!(wait.parse(), Ok(head.wait));
         let parts = new_wait(message, &head.wait_at, new);
         let written = rewritten(message, &head.wait_at, &parts).concat();
         assert_eq!(written[1..5], (written.len() as u32 - 1).to_be_bytes());
-        let again = Head::read(&written).expect("a command");
+        let again = CommandHead::read(&written).expect("a command");
         assert_eq!((again.wait, again.id, again.key), (new, head.id, head.key));
     }
 
@@ -172,14 +172,14 @@
         })]
 
         #[test]
-        fn no_message_is_beyond_reading(bytes in vec(any::<u8>(), 0..200), new in 1..WAIT_MOST) {
+        fn no_message_is_beyond_reading(bytes in vec(any::<u8>(), 0..200), new in 1..MAX_TIMEOUT_MS) {
             holds_together(&bytes, new);
             holds_together(&[b"Q\0\0\0\0", &bytes[..], b"\0"].concat(), new);
         }
 
         #[test]
         fn parts_of_statements_in_any_order_are_read_or_refused(
-            places in vec(0..PARTS.len(), 0..30), new in 1..WAIT_MOST,
+            places in vec(0..PARTS.len(), 0..30), new in 1..MAX_TIMEOUT_MS,
         ) {
             let text: String = places.iter().map(|place| PARTS[*place]).collect();
             holds_together(&[b"Q\0\0\0\0", text.as_bytes(), b"\0"].concat(), new);
@@ -187,7 +187,7 @@
 
         #[test]
         fn a_statement_with_parts_put_in_is_read_or_refused(
-            put in vec((0..90_usize, 0..PARTS.len()), 0..4), new in 1..WAIT_MOST,
+            put in vec((0..90_usize, 0..PARTS.len()), 0..4), new in 1..MAX_TIMEOUT_MS,
         ) {
             let mut text = format!("{}7f' /* id=9b,c=basket,d=480,cluster=2,after=12 */", PARTS[0]);
             for (place, part) in put {
@@ -199,12 +199,13 @@
         }
     }
 
-    /// Guards against a comment whose names are each compared with all before it, and figures beyond all.
+    /// A comment with too many names, and numbers out of range.
     #[test]
     fn what_is_beyond_all_is_refused() {
         let read = |comment: &str| {
             let text = format!("{}7f' /* {comment} */", PARTS[0]);
-            Head::read(&[b"Q\0\0\0\0", text.as_bytes(), b"\0"].concat()).map(|head| (head.wait, head.after))
+            CommandHead::read(&[b"Q\0\0\0\0", text.as_bytes(), b"\0"].concat())
+                .map(|head| (head.wait, head.after))
         };
         let names = |count: usize| (0..count).map(|n| format!("n{n}=,")).collect::<String>();
         for (comment, part) in [
@@ -233,7 +234,7 @@
             (format!("{read} /* c=basket,cluster=2,after=12,id=d, d = 5 */ "), 5, 50, ("d = 5", "d = 50")),
         ] {
             let message = [b"Q\0\0\0\0", text.as_bytes(), b"\0"].concat();
-            let head = Head::read(&message).expect("a command");
+            let head = CommandHead::read(&message).expect("a command");
             assert_eq!((head.wait, head.command_group, head.group), (wait, "basket", "2"));
             assert_eq!((head.key, head.after), ("7f /* d=1 */", Some(12)));
             let parts = new_wait(&message, &head.wait_at, new);
