--- a/crates/accord/src/lib.rs
+++ b/crates/accord/src/lib.rs
@@ -1,10 +1,12 @@
-//! Versions of what gateways act on: settings and lists. Two of them are compared field by field ([`compare`]): the
-//! same, tighter, looser or contrary, each by the rule that it is for. What is tighter binds wherever it is heard;
-//! what is looser or contrary binds only once all agree; until then [`meanwhile`] holds, the tightest of both.
-//! Nothing here does I/O or reads a clock.
+//! Comparison of two versions of the configuration that gateways act on: settings and server lists. [`compare`]
+//! classifies each field as equal, tighter, looser or contradictory, with the rule that it serves. A tighter value
+//! applies wherever it is known; a looser or contradictory one only once all gateways agree, and until then
+//! [`meanwhile`] applies, the tighter of both. No I/O and no clock.
 
-mod meet;
 mod rules;
+mod tighten;
 
-pub use meet::{Class, Meet, class};
-pub use rules::{Difference, GroupTerms, Guarantees, Host, Limits, Reads, Rule, Rules, compare, meanwhile};
+pub use rules::{
+    ConfigVersion, Difference, GroupTerms, Guarantees, Host, Limits, Reads, Rule, compare, meanwhile,
+};
+pub use tighten::{Class, Tighten, classify};
--- a/crates/accord/src/rules.rs
+++ b/crates/accord/src/rules.rs
@@ -1,5 +1,5 @@
-//! The settings and the list as far as a gateway acts on them, each field with what tightens it and the rule that it is
-//! for. A field is written once, in [`terms!`], and can't be added without both.
+//! The settings and the server list as far as gateways act on them. Each field states what makes it tighter and the
+//! rule that it serves; the macro [`terms!`] requires both.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,28 +7,28 @@
 use tansyjunction::interface::ServerState;
 use tansyjunction_hosting::ServerList;
 
-use crate::meet::{Agreed, Class, Free, Least, Meet, Most, Permits, Strictest, class};
+use crate::tighten::{Agreed, Class, Free, Least, Most, Permits, Strictest, Tighten, classify};
 
-/// What a field is for.
+/// The rule that a field serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     /// One final answer per command, in time.
     Answer,
     /// No effect twice.
     Once,
-    /// Nothing new past the drain grace.
+    /// No new commands after the drain grace.
     Drain,
-    /// A cold server is never pushed over.
+    /// A cold server is never overloaded.
     Cold,
     /// No stale read.
     Fresh,
-    /// Writes go to one primary of a shard at a time; reads and writes to members of their shard.
+    /// Writes go to one primary of a shard at a time; commands go to members of their shard.
     Place,
     /// None of them.
     None,
 }
 
-/// A field that differs.
+/// A field that differs between two versions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
     pub field: String,
@@ -36,19 +36,19 @@
     pub rule: Rule,
     pub old: String,
     pub new: String,
-    /// What binds until all have agreed.
+    /// The value that applies until all have agreed.
     pub meanwhile: String,
 }
 
-/// A struct whose fields each have their kind and rule. Both [`Meet`] and the list of differences go through all of
-/// them.
+/// Defines a struct whose fields each have a type and a rule; implements [`Tighten`] and the list of differences over all
+/// of them.
 macro_rules! terms {
     ($(#[$doc:meta])* $name:ident { $($(#[$field_doc:meta])* $field:ident: $kind:ty => $rule:ident,)* }) => {
         $(#[$doc])*
         #[derive(Clone, Debug, PartialEq)]
         pub struct $name { $($(#[$field_doc])* pub $field: $kind,)* }
 
-        impl Meet for $name {
+        impl Tighten for $name {
             fn meet(&self, other: &Self) -> Self {
                 $name { $($field: self.$field.meet(&other.$field),)* }
             }
@@ -62,8 +62,14 @@
     };
 }
 
-fn differ<T: Meet + std::fmt::Debug>(field: &str, rule: Rule, old: &T, new: &T, found: &mut Vec<Difference>) {
-    let class = class(old, new);
+fn differ<T: Tighten + std::fmt::Debug>(
+    field: &str,
+    rule: Rule,
+    old: &T,
+    new: &T,
+    found: &mut Vec<Difference>,
+) {
+    let class = classify(old, new);
     let (said_old, said_new) = (format!("{old:?}"), format!("{new:?}"));
     if class != Class::Same || said_old != said_new {
         let meanwhile = format!("{:?}", old.meet(new));
@@ -71,24 +77,24 @@
     }
 }
 
-/// How repeats are told, the least dangerous to repeat first.
+/// Effect of repeating a command, the least dangerous first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Effect {
+pub enum RepeatEffect {
     Replayable,
     Keyed,
     Mutating,
 }
 
-/// Where a keyed command's repeats are dropped, the widest first.
+/// Where repeats of a keyed command are dropped, the widest scope first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Dropped {
+pub enum DedupScope {
     All,
     Zone,
     Group,
     Nowhere,
 }
 
-/// What a command needs of the data, the least first.
+/// Freshness that a command needs, the least first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Need {
     Any,
@@ -98,25 +104,25 @@
     Write,
 }
 
-/// What servers do with a read that they are too far behind for, the most helpful first.
+/// How servers treat a read that they are too far behind for, the most helpful first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Guards {
+pub enum StaleReadPolicy {
     Wait,
     Refuse,
     None,
 }
 
 terms! {
-    /// What holds for the commands of a group. Times in nanoseconds, as the settings have them.
+    /// Settings of a command group. Times in nanoseconds, as in the settings.
     GroupTerms {
-        /// One that may run twice by one version and not by the other may not.
-        effect: Strictest<Effect> => Once,
-        dropped: Strictest<Dropped> => Once,
-        /// A repeat that one version's window forbids is forbidden.
+        /// A command that may not run twice by one version may not.
+        effect: Strictest<RepeatEffect> => Once,
+        dropped: Strictest<DedupScope> => Once,
+        /// A repeat outside either version's window is forbidden.
         window: Least => Once,
         need: Strictest<Need> => Fresh,
         bound: Least => Fresh,
-        /// Answered by the earlier of both times it is in time by both.
+        /// An answer before the earlier timeout is in time by both versions.
         client_timeout: Least => Answer,
         response_target: Free<f64> => None,
         worth: Free<f64> => None,
@@ -142,21 +148,21 @@
     Guarantees {
         answer_grace: Least => Answer,
         drain_grace: Least => Drain,
-        /// That gone binds is the tighter.
+        /// Tighter: removal is final.
         gone_is_advice: Permits => Drain,
         cold_for: Most => Cold,
         cold_from: Least => Cold,
         fall_multiple: Least => Cold,
         fall_for: Least => Cold,
-        /// As many gateways as either counts share a cold server's budget.
+        /// More gateways share a cold server's budget.
         gateways: Most => Cold,
     }
 }
 
 terms! {
     Reads {
-        guards: Strictest<Guards> => Fresh,
-        /// A position that one version says is not stated is not relied on.
+        guards: Strictest<StaleReadPolicy> => Fresh,
+        /// A position that is not reported by one version is not relied on.
         stamped: Permits => Fresh,
         session_marks: Agreed<String> => Fresh,
         role_listed: Agreed<String> => Place,
@@ -168,43 +174,43 @@
 terms! {
     /// A server of the list.
     Host {
-        standing: Strictest<Stands> => Drain,
+        standing: Strictest<ListedState> => Drain,
         shard: Agreed<String> => Place,
         zone: Free<String> => None,
-        /// Counted as small as either says: the budget of a cold one goes by it.
+        /// The smaller size: it limits the budget of a cold server.
         size: Least => Cold,
-        /// The younger is the colder.
+        /// The later start: the server may be colder.
         started: Most => Cold,
-        /// Its address on this gateway's network; another gateway may have another.
+        /// Its address on this gateway's network; may differ between gateways.
         address: Free<String> => None,
     }
 }
 
-/// Standing in the list, the freest first.
+/// State in the list, the least restrictive first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Stands {
+pub enum ListedState {
     Serving,
     Draining,
     Gone,
 }
 
-/// All that a version says. A group or server that one version lacks is one that takes no commands.
+/// Content of a version. A command group or server missing from one version gets no commands.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rules {
+pub struct ConfigVersion {
     pub groups: BTreeMap<String, GroupTerms>,
     pub limits: Limits,
     pub guarantees: Guarantees,
     pub reads: Reads,
     pub zones: Agreed<Vec<String>>,
     pub hosts: BTreeMap<String, Host>,
-    /// By shard: who leads it.
+    /// Primary of each shard.
     pub primaries: BTreeMap<String, Agreed<String>>,
-    /// Settings that are not known here. They are contrary where they differ: nobody can say what they bind.
+    /// Unknown settings. They contradict where they differ, since their effect is unknown.
     pub others: BTreeMap<String, Agreed<String>>,
 }
 
-/// Keys of the settings that are read above, or that bind nothing.
-const KNOWN: [&str; 28] = [
+/// Keys of the settings that are read above, or have no effect on any rule.
+const KNOWN_KEYS: [&str; 28] = [
     "balancers",
     "categories",
     "clients",
@@ -235,9 +241,9 @@
     "peers",
 ];
 
-impl Rules {
-    /// Reads a configuration, with its `settings` and the list that it knows. Errors name the key.
-    pub fn read(config: &Json) -> Result<Rules, String> {
+impl ConfigVersion {
+    /// Reads a configuration with its `settings` and its server list. Errors name the key.
+    pub fn read(config: &Json) -> Result<ConfigVersion, String> {
         let settings = config.get("settings").ok_or("'settings' is missing")?;
         let list = match &config["known"] {
             Json::Null => None,
@@ -251,17 +257,17 @@
         let mut groups = BTreeMap::new();
         for (k, one) in settings["categories"].as_array().into_iter().flatten().enumerate() {
             let name = one["name"].as_str().ok_or(format!("'settings.categories.{k}.name' is missing"))?;
-            // What is not known here is taken for the strictest.
+            // Unknown values are treated as the strictest.
             let effect = match one["effect"].as_str() {
-                Some("pure") => Effect::Replayable,
-                Some("token") => Effect::Keyed,
-                _ => Effect::Mutating,
+                Some("pure") => RepeatEffect::Replayable,
+                Some("token") => RepeatEffect::Keyed,
+                _ => RepeatEffect::Mutating,
             };
             let dropped = match (effect, one["dedup_scope"].as_str()) {
-                (Effect::Replayable, _) | (_, Some("all")) => Dropped::All,
-                (_, Some("zone")) => Dropped::Zone,
-                (Effect::Keyed, _) => Dropped::Group,
-                (Effect::Mutating, _) => Dropped::Nowhere,
+                (RepeatEffect::Replayable, _) | (_, Some("all")) => DedupScope::All,
+                (_, Some("zone")) => DedupScope::Zone,
+                (RepeatEffect::Keyed, _) => DedupScope::Group,
+                (RepeatEffect::Mutating, _) => DedupScope::Nowhere,
             };
             let need = match domain["needs_by_class"][k].as_str() {
                 Some("eventual") => Need::Any,
@@ -274,7 +280,7 @@
             let terms = GroupTerms {
                 effect: Strictest(effect),
                 dropped: Strictest(dropped),
-                window: Least(if effect == Effect::Keyed {
+                window: Least(if effect == RepeatEffect::Keyed {
                     number(one, "window", 0.0)
                 } else {
                     f64::INFINITY
@@ -290,7 +296,7 @@
                 return Err(format!("'settings.categories.{k}.name' is '{name}' a second time"));
             }
         }
-        let mut rules = Rules {
+        let mut rules = ConfigVersion {
             groups,
             limits: Limits {
                 dispatches: Least(number(limits, "max_attempts", 1.0)),
@@ -315,9 +321,9 @@
             },
             reads: Reads {
                 guards: Strictest(match domain["guards"].as_str() {
-                    Some("await") => Guards::Wait,
-                    Some("bounce") => Guards::Refuse,
-                    _ => Guards::None,
+                    Some("await") => StaleReadPolicy::Wait,
+                    Some("bounce") => StaleReadPolicy::Refuse,
+                    _ => StaleReadPolicy::None,
                 }),
                 stamped: Permits(flag(domain, "answers_stamped")),
                 session_marks: Agreed(Some(word(domain, "write_marks"))),
@@ -338,21 +344,21 @@
             others: BTreeMap::new(),
         };
         for (key, value) in settings.as_object().into_iter().flatten() {
-            if !KNOWN.contains(&key.as_str()) {
+            if !KNOWN_KEYS.contains(&key.as_str()) {
                 rules.others.insert(key.clone(), Agreed(Some(value.to_string())));
             }
         }
         for host in list.into_iter().flat_map(|list| list.servers) {
             if host.primary && host.state == ServerState::Serving {
                 let leads = Agreed(Some(host.name.clone()));
-                // Two that the list says lead one shard: nobody may be taken to.
+                // Two listed primaries of one shard: none may be assumed.
                 let known = rules.primaries.get(&host.group).map(|known| known.meet(&leads));
                 rules.primaries.insert(host.group.clone(), known.unwrap_or(leads));
             }
             let stands = match host.state {
-                ServerState::Serving => Stands::Serving,
-                ServerState::Draining => Stands::Draining,
-                ServerState::Gone => Stands::Gone,
+                ServerState::Serving => ListedState::Serving,
+                ServerState::Draining => ListedState::Draining,
+                ServerState::Gone => ListedState::Gone,
             };
             let one = Host {
                 standing: Strictest(stands),
@@ -369,28 +375,27 @@
     }
 }
 
-/// Both sides' keys, each once.
-fn keys<'a, T>(a: &'a BTreeMap<String, T>, b: &'a BTreeMap<String, T>) -> BTreeSet<&'a String> {
+/// Keys of both maps, each once.
+fn all_keys<'a, T>(a: &'a BTreeMap<String, T>, b: &'a BTreeMap<String, T>) -> BTreeSet<&'a String> {
     a.keys().chain(b.keys()).collect()
 }
 
-/// What holds while some act on the one version and some may act on the other: the tightest of both in every field. A
-/// command group or server that one of them lacks takes no commands; a shard of whose primary they differ takes no
-/// writes.
-pub fn meanwhile(old: &Rules, new: &Rules) -> Rules {
-    // Every field is named, so that none that is added later can be forgotten here.
-    let Rules { groups, limits, guarantees, reads, zones, hosts, primaries, others } = old;
+/// What applies while gateways may act on either version: the tighter value of each field. A command group or server
+/// missing from one version gets no commands; a shard with different primaries gets no writes.
+pub fn meanwhile(old: &ConfigVersion, new: &ConfigVersion) -> ConfigVersion {
+    // Every field is named, so that a new one cannot be forgotten here.
+    let ConfigVersion { groups, limits, guarantees, reads, zones, hosts, primaries, others } = old;
     let meets = |a: &BTreeMap<String, Agreed<String>>, b: &BTreeMap<String, Agreed<String>>| {
         let absent = Agreed(None);
         let meet = |key: &String| a.get(key).unwrap_or(&absent).meet(b.get(key).unwrap_or(&absent));
-        let met = keys(a, b).into_iter().map(|key| (key.clone(), meet(key)));
-        // One on which they differ is as one of which nothing is said.
+        let met = all_keys(a, b).into_iter().map(|key| (key.clone(), meet(key)));
+        // A shard without agreement is treated as one without a primary.
         met.filter(|(_, met)| *met != absent).collect()
     };
     let both =
         |(name, terms): (&String, &GroupTerms)| Some((name.clone(), terms.meet(new.groups.get(name)?)));
     let there = |(name, host): (&String, &Host)| Some((name.clone(), host.meet(new.hosts.get(name)?)));
-    Rules {
+    ConfigVersion {
         groups: groups.iter().filter_map(both).collect(),
         limits: limits.meet(&new.limits),
         guarantees: guarantees.meet(&new.guarantees),
@@ -402,17 +407,17 @@
     }
 }
 
-/// All fields in which two versions differ, each with its class and rule, in a fixed order.
-pub fn compare(old: &Rules, new: &Rules) -> Vec<Difference> {
-    let Rules { groups, limits, guarantees, reads, zones, hosts, primaries, others } = old;
+/// All fields that differ, with class and rule, in a fixed order.
+pub fn compare(old: &ConfigVersion, new: &ConfigVersion) -> Vec<Difference> {
+    let ConfigVersion { groups, limits, guarantees, reads, zones, hosts, primaries, others } = old;
     let mut found = Vec::new();
-    // One that is not there takes no commands: to leave it out is tighter, to add it looser.
+    // A missing entry gets no commands: removing one is tighter, adding one is looser.
     let only_one = |field: String, there: bool, rule: Rule| {
         let (class, old, new) =
             if there { (Class::Tighter, "there", "-") } else { (Class::Looser, "-", "there") };
         Difference { field, class, rule, old: old.into(), new: new.into(), meanwhile: "-".into() }
     };
-    for name in keys(groups, &new.groups) {
+    for name in all_keys(groups, &new.groups) {
         let path = format!("command group {name}");
         match (groups.get(name), new.groups.get(name)) {
             (Some(old), Some(new)) => old.differences(new, &path, &mut found),
@@ -423,7 +428,7 @@
     guarantees.differences(&new.guarantees, "guarantees", &mut found);
     reads.differences(&new.reads, "reads", &mut found);
     differ("zones", Rule::Place, zones, &new.zones, &mut found);
-    for name in keys(hosts, &new.hosts) {
+    for name in all_keys(hosts, &new.hosts) {
         let path = format!("server {name}");
         match (hosts.get(name), new.hosts.get(name)) {
             (Some(old), Some(new)) => old.differences(new, &path, &mut found),
@@ -435,7 +440,7 @@
         ("primary of shard", Rule::Place, primaries, &new.primaries),
         ("setting", Rule::None, others, &new.others),
     ] {
-        for name in keys(old, new) {
+        for name in all_keys(old, new) {
             let (old, new) = (old.get(name).unwrap_or(&absent), new.get(name).unwrap_or(&absent));
             differ(&format!("{kind} {name}"), rule, old, new, &mut found);
         }
--- a/crates/accord/src/meet.rs
+++ b/crates/accord/src/tighten.rs
@@ -1,26 +1,27 @@
-//! Values that can be tightened. Each kind says one thing alone: what of two values binds where both may be in force.
-//! All else follows: what binds is one of the two, then the other is looser; or neither, then they are contrary.
+//! Values that can be tightened: a meet semilattice. Each type defines what applies while two values may be in force.
+//! If the result is one of the two, the other one is looser; if neither, they contradict each other. The names of the types
+//! appear in the output of `tansyjunction accord diff`.
 
 /// How a value changes from one version to the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Class {
     Same,
-    /// Whoever acts on the new one breaks nothing of the old one.
+    /// Acting on the new value violates nothing under the old one.
     Tighter,
-    /// Whoever acts on the old one breaks nothing of the new one.
+    /// Acting on the old value violates nothing under the new one.
     Looser,
-    /// Neither may be acted on beside the other.
+    /// Acting on either may violate the other.
     Contrary,
 }
 
 /// A value of which two versions may be in force at once.
-pub trait Meet: Clone + PartialEq {
-    /// What binds while both may be in force: no looser than either, and the same whichever comes first.
+pub trait Tighten: Clone + PartialEq {
+    /// What applies while both may be in force: no looser than either, and independent of their order.
     fn meet(&self, other: &Self) -> Self;
 }
 
-/// The class of a change.
-pub fn class<T: Meet>(old: &T, new: &T) -> Class {
+/// Classifies a change.
+pub fn classify<T: Tighten>(old: &T, new: &T) -> Class {
     let meet = old.meet(new);
     match (meet == *old, meet == *new) {
         (true, true) => Class::Same,
@@ -30,27 +31,27 @@
     }
 }
 
-/// The smaller figure binds.
+/// The smaller number is tighter.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Least(pub f64);
 
-/// The larger figure binds.
+/// The larger number is tighter.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Most(pub f64);
 
-/// A permission: what one withholds is withheld.
+/// A permission: `false` is tighter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permits(pub bool);
 
-/// One of several, of which the later binds in the order in which they are written.
+/// An enumeration in which later variants are tighter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Strictest<T>(pub T);
 
-/// A fact on which both must agree: where they do not, none is acted on, and None binds.
+/// A fact that must agree: where two differ, the result is `None` and none may be acted on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Agreed<T>(pub Option<T>);
 
-/// What no rule looks at; two values stand side by side. The larger is kept, only for the order not to matter.
+/// A value without effect on any rule. The larger one is kept, so that the result does not depend on the order.
 #[derive(Clone, Debug)]
 pub struct Free<T>(pub T);
 
@@ -60,37 +61,37 @@
     }
 }
 
-impl Meet for Least {
+impl Tighten for Least {
     fn meet(&self, other: &Self) -> Self {
         Least(self.0.min(other.0))
     }
 }
 
-impl Meet for Most {
+impl Tighten for Most {
     fn meet(&self, other: &Self) -> Self {
         Most(self.0.max(other.0))
     }
 }
 
-impl Meet for Permits {
+impl Tighten for Permits {
     fn meet(&self, other: &Self) -> Self {
         Permits(self.0 && other.0)
     }
 }
 
-impl<T: Copy + Ord> Meet for Strictest<T> {
+impl<T: Copy + Ord> Tighten for Strictest<T> {
     fn meet(&self, other: &Self) -> Self {
         (*self).max(*other)
     }
 }
 
-impl<T: Clone + PartialEq> Meet for Agreed<T> {
+impl<T: Clone + PartialEq> Tighten for Agreed<T> {
     fn meet(&self, other: &Self) -> Self {
         if self == other { self.clone() } else { Agreed(None) }
     }
 }
 
-impl<T: Clone + PartialOrd> Meet for Free<T> {
+impl<T: Clone + PartialOrd> Tighten for Free<T> {
     fn meet(&self, other: &Self) -> Self {
         if self.0 >= other.0 { self.clone() } else { other.clone() }
     }
--- a/crates/accord/tests/classes.rs
+++ b/crates/accord/tests/classes.rs
@@ -1,9 +1,9 @@
-//! Which changes bind at once and which need agreement, field by field, and that what binds meanwhile is no looser than
+//! Which changes apply at once and which need agreement, field by field; what applies meanwhile is no looser than
 //! either version.
 
 use proptest::prelude::*;
 use serde_json::{Value as Json, json};
-use tansyjunction_accord::{Class, Meet, Rule, Rules, class, compare, meanwhile};
+use tansyjunction_accord::{Class, ConfigVersion, Rule, Tighten, classify, compare, meanwhile};
 
 fn config() -> Json {
     json!({
@@ -25,7 +25,7 @@
     })
 }
 
-fn changed(changes: &[(&str, Json)]) -> Rules {
+fn changed(changes: &[(&str, Json)]) -> ConfigVersion {
     let mut config = config();
     for (path, value) in changes {
         let (parent, key) = path.rsplit_once('/').expect("a path");
@@ -36,7 +36,7 @@
             (other, _) => panic!("{path}: {other}"),
         }
     }
-    Rules::read(&config).expect("a configuration")
+    ConfigVersion::read(&config).expect("a configuration")
 }
 
 #[test]
@@ -138,7 +138,7 @@
         let one = found.iter().find(|one| one.field == field);
         let one = one.unwrap_or_else(|| panic!("{field}: {found:?}"));
         assert_eq!((one.class, one.rule), (class, rule), "{one:?}");
-        // Taken back it is the other way round.
+        // The reverse change has the reverse class.
         let back = compare(&changed(&changes), &changed(&[]));
         let back = back.iter().find(|one| one.field == field).expect(field).class;
         let turned = match class {
@@ -161,14 +161,14 @@
     ] {
         let mut config = config();
         *config.pointer_mut(path).expect(path) = value;
-        let read = Rules::read(&config);
+        let read = ConfigVersion::read(&config);
         assert!(part.is_empty() || read.is_err_and(|message| message.contains(part)), "{path}");
     }
-    assert!(Rules::read(&json!({})).is_err());
+    assert!(ConfigVersion::read(&json!({})).is_err());
 }
 
-/// Any version, by changes to one of a few values in many places.
-fn some() -> impl Strategy<Value = Rules> {
+/// Generates versions by changing values in many places.
+fn some() -> impl Strategy<Value = ConfigVersion> {
     let change = |path: &'static str, values: Vec<Json>| {
         prop::option::of(prop::sample::select(values)).prop_map(move |value| value.map(|value| (path, value)))
     };
@@ -209,11 +209,11 @@
             let looser = found.iter().find(|one| matches!(one.class, Class::Looser | Class::Contrary));
             prop_assert!(looser.is_none(), "{:?}", looser);
         }
-        // The order in which versions are heard, and how often, changes nothing.
+        // Order and number of received versions do not matter.
         prop_assert_eq!(&both, &meanwhile(&b, &a));
         prop_assert_eq!(&meanwhile(&both, &a), &both);
         prop_assert_eq!(meanwhile(&both, &c), meanwhile(&a, &meanwhile(&b, &c)));
-        // What is tighter in all fields binds as it is.
+        // A version that is tighter in all fields applies as it is.
         if compare(&a, &b).iter().all(|one| matches!(one.class, Class::Same | Class::Tighter)) {
             prop_assert_eq!(&both, &b);
         }
@@ -222,7 +222,7 @@
     #[test]
     fn a_class_turned_round_is_the_other(a in some(), b in some()) {
         for (old, new) in [(&a, &b), (&b, &a)] {
-            let limits = (class(&old.limits, &new.limits), old.limits.meet(&new.limits));
+            let limits = (classify(&old.limits, &new.limits), old.limits.meet(&new.limits));
             prop_assert_eq!(limits.0 == Class::Tighter, limits.1 == new.limits && old.limits != new.limits);
         }
         let fields = |found: Vec<tansyjunction_accord::Difference>| found.into_iter().map(|one| one.field).collect::<Vec<_>>();
--- a/crates/cli/src/accord.rs
+++ b/crates/cli/src/accord.rs
@@ -5,7 +5,7 @@
 
 use clap::{Args, Subcommand};
 use serde_json::{Value as Json, json};
-use tansyjunction_accord::{Class, Difference, Rules, compare};
+use tansyjunction_accord::{Class, ConfigVersion, Difference, compare};
 
 use crate::line::print;
 
@@ -29,11 +29,11 @@
     },
 }
 
-fn read(path: &Path) -> Result<Rules, String> {
+fn read(path: &Path) -> Result<ConfigVersion, String> {
     let said = |message: String| format!("{}: {message}", path.display());
     let text = std::fs::read_to_string(path).map_err(|error| said(error.to_string()))?;
     let json: Json = serde_json::from_str(&text).map_err(|error| said(error.to_string()))?;
-    Rules::read(&json).map_err(said)
+    ConfigVersion::read(&json).map_err(said)
 }
 
 fn word(class: Class) -> &'static str {
--- a/crates/council/src/member.rs
+++ b/crates/council/src/member.rs
@@ -30,11 +30,11 @@
 /// Log index, entry and outcome.
 pub type Applied<E, O> = (u64, E, O);
 
-/// Why a proposal has no outcome.
+/// Why a proposal has no outcome. The names appear in logs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposalError {
     #[error("not decided in time; it may still come")]
-    Timeout,
+    InTime,
     #[error("the entry is larger than a message may be; it was not proposed")]
     TooLarge,
 }
@@ -478,7 +478,7 @@
             self.pending.iter().filter(|(_, p)| now >= p.since + give_up).map(|(t, _)| *t).collect();
         for ticket in late {
             self.pending.remove(&ticket);
-            self.decided.push((ticket, Err(ProposalError::Timeout)));
+            self.decided.push((ticket, Err(ProposalError::InTime)));
         }
         let done = self.pending.keys().next().copied().unwrap_or(self.tickets + 1);
         let Some(to) = self.proposal_target() else { return };
--- a/crates/council/src/seeded_faults.rs
+++ b/crates/council/src/seeded_faults.rs
@@ -28,11 +28,11 @@
 
 /// Whether this fault is active.
 pub(crate) fn is_active(slip: SeededFault) -> bool {
-    cfg!(feature = "slips") && ACTIVE.get() == Some(slip)
+    cfg!(feature = "seeded-faults") && ACTIVE.get() == Some(slip)
 }
 
 /// The vote in a message, for tests: term, voting disk, and the disk it votes for.
-#[cfg(feature = "slips")]
+#[cfg(feature = "seeded-faults")]
 pub fn vote(bytes: &[u8]) -> Option<(u64, u64, u64)> {
     crate::wire::vote(bytes)
 }
--- a/crates/council/src/wire.rs
+++ b/crates/council/src/wire.rs
@@ -195,7 +195,7 @@
 }
 
 /// Term, voting disk, and the disk it votes for, in a vote or a request for votes.
-#[cfg(feature = "slips")]
+#[cfg(feature = "seeded-faults")]
 pub fn vote(bytes: &[u8]) -> Option<(u64, u64, u64)> {
     let envelope: Envelope<()> = postcard::from_bytes(bytes).ok()?;
     let Body::Raft(raft) = envelope.body else { return None };
--- a/crates/duties/src/seeded_faults.rs
+++ b/crates/duties/src/seeded_faults.rs
@@ -69,5 +69,5 @@
 
 /// Whether this fault is active.
 pub(crate) fn is_active(slip: SeededFault) -> bool {
-    cfg!(feature = "slips") && ACTIVE.get() == Some(slip)
+    cfg!(feature = "seeded-faults") && ACTIVE.get() == Some(slip)
 }
--- a/crates/fellows/src/evidence.rs
+++ b/crates/fellows/src/evidence.rs
@@ -1,5 +1,5 @@
-//! What each gateway has seen of the servers, with its age where it was seen. Items merge in any order, any number of
-//! times, to the same end: of one source about one thing the latest counts, and of one told twice the older age.
+//! What each gateway observed of the servers, with its age. Items merge to the same result in any order and number:
+//! of one source about one subject the latest counts, and of an item received twice the older age.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,32 +7,32 @@
 use serde::{Deserialize, Serialize};
 use tansyjunction::interface::Micros;
 
-use crate::slips::{self, Slip};
+use crate::seeded_faults::{self, SeededFault};
 
-/// What can be seen of a server. Positions and times are microseconds.
+/// An observation of a server. Positions and times are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Fact {
-    /// It answered, refused connections, or took commands and answered none.
+    /// It answered, refused connections, or accepted commands without answering.
     Answers,
     Refuses,
     Hangs,
-    /// It said of itself that it is the primary, or that it is none.
+    /// It reported that it is the primary, or is not.
     Leads,
     Follows,
-    /// Up to where it has applied the log, by its own word.
+    /// Position up to which it has applied the log, as reported by itself.
     At(u64),
-    /// The list calls it draining or gone.
+    /// The server list says that it drains or is gone.
     Drains,
-    /// It has just started, answers, and lets commands wait for so many milliseconds.
+    /// It has just started, answers, and commands wait there for this many ms.
     Waits(u16),
-    /// Of a fellow: it is suspected; of itself: it leaves of its own will.
+    /// About a gateway: it is suspected; about the source itself: it leaves voluntarily.
     Suspects,
     Leaves,
 }
 
-/// Facts that stand in each other's place: of one source about one server, one of each kind is kept.
+/// Kinds of facts. Of each source and server, one fact of each kind is stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
+pub enum FactKind {
     Reach,
     Role,
     Position,
@@ -42,19 +42,19 @@
 }
 
 impl Fact {
-    pub fn kind(self) -> Kind {
+    pub fn kind(self) -> FactKind {
         match self {
-            Fact::Answers | Fact::Refuses | Fact::Hangs => Kind::Reach,
-            Fact::Leads | Fact::Follows => Kind::Role,
-            Fact::At(_) => Kind::Position,
-            Fact::Drains => Kind::Drain,
-            Fact::Waits(_) => Kind::Waiting,
-            Fact::Suspects | Fact::Leaves => Kind::Fellow,
+            Fact::Answers | Fact::Refuses | Fact::Hangs => FactKind::Reach,
+            Fact::Leads | Fact::Follows => FactKind::Role,
+            Fact::At(_) => FactKind::Position,
+            Fact::Drains => FactKind::Drain,
+            Fact::Waits(_) => FactKind::Waiting,
+            Fact::Suspects | Fact::Leaves => FactKind::Fellow,
         }
     }
 }
 
-/// One thing that one gateway saw, as it travels.
+/// An observation in transit.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Item {
     pub source: String,
@@ -63,45 +63,51 @@
     pub seq: u32,
     pub subject: String,
     pub fact: Fact,
-    /// Milliseconds since it was seen, where it is told; rounded up.
+    /// Milliseconds since the observation, rounded up.
     pub age: u32,
 }
 
-/// One thing that one gateway saw, as it is kept.
+/// A stored observation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Kept {
+pub struct StoredItem {
     pub zone: u8,
     pub life: u64,
     pub seq: u32,
     pub fact: Fact,
-    /// When it was seen, by this gateway's clock.
-    pub at: Micros,
-    /// How often it was passed on from here.
-    pub told: u32,
+    /// Time of the observation on this gateway's clock.
+    pub observed_at: Micros,
+    /// How often this gateway has passed it on.
+    pub times_sent: u32,
 }
 
 /// Source, subject and kind.
-type Key = (String, String, Kind);
+type ItemKey = (String, String, FactKind);
 
-/// All that is known of what others saw, and what this gateway saw itself.
+/// All observations of this gateway and of others.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Evidence {
-    items: BTreeMap<Key, Kept>,
-    /// By source: how many items there are.
+pub struct EvidenceStore {
+    items: BTreeMap<ItemKey, StoredItem>,
+    /// Number of items by source.
     counts: BTreeMap<String, usize>,
-    /// What is to be passed on: how often it was, the newest first, and which.
-    due: BTreeSet<(u32, Reverse<Micros>, Key)>,
+    /// Items to pass on: times passed on, newest first, and key.
+    due: BTreeSet<(u32, Reverse<Micros>, ItemKey)>,
     keep_for: Micros,
     most: usize,
 }
 
-impl Evidence {
-    /// Items are forgotten `keep_for` after they were seen; a source has `most` at a time.
+impl EvidenceStore {
+    /// Items expire `keep_for` after their observation; each source may have `most`.
     pub fn new(keep_for: Micros, most: usize) -> Self {
-        Evidence { items: BTreeMap::new(), counts: BTreeMap::new(), due: BTreeSet::new(), keep_for, most }
+        EvidenceStore {
+            items: BTreeMap::new(),
+            counts: BTreeMap::new(),
+            due: BTreeSet::new(),
+            keep_for,
+            most,
+        }
     }
 
-    /// Takes in an item that was on its way for `late`; true: it told something new.
+    /// Merges an item that was in transit for `late`; returns whether it was new.
     pub fn merge(&mut self, now: Micros, item: &Item, late: Micros) -> bool {
         let age = Micros::from(item.age) * 1_000 + late;
         if age > self.keep_for {
@@ -109,18 +115,26 @@
         }
         let at = now.saturating_sub(age);
         let key = (item.source.clone(), item.subject.clone(), item.fact.kind());
-        let new = Kept { zone: item.zone, life: item.life, seq: item.seq, fact: item.fact, at, told: 0 };
+        let new = StoredItem {
+            zone: item.zone,
+            life: item.life,
+            seq: item.seq,
+            fact: item.fact,
+            observed_at: at,
+            times_sent: 0,
+        };
         if let Some(known) = self.items.get_mut(&key) {
-            // Of one source's item told twice the older age is kept, and of two that contradict each other under one
-            // number always the same one: the order of arrival must not matter.
+            // Of an item received twice the older age is kept, and of two different ones with the same number always
+            // the same: the order of arrival must not matter.
             let (old, latest) = ((known.life, known.seq, known.fact), (new.life, new.seq, new.fact));
-            let was = (known.told, Reverse(known.at), key.clone());
+            let was = (known.times_sent, Reverse(known.observed_at), key.clone());
             let told_anew = match latest.cmp(&old) {
-                _ if slips::is(Slip::FirstWins) => return false,
+                _ if seeded_faults::is_active(SeededFault::FirstWins) => return false,
                 std::cmp::Ordering::Less => return false,
                 std::cmp::Ordering::Equal => {
-                    let younger = slips::is(Slip::YoungerOfTwo);
-                    known.at = if younger { known.at.max(at) } else { known.at.min(at) };
+                    let younger = seeded_faults::is_active(SeededFault::YoungerOfTwo);
+                    known.observed_at =
+                        if younger { known.observed_at.max(at) } else { known.observed_at.min(at) };
                     false
                 }
                 std::cmp::Ordering::Greater => {
@@ -128,16 +142,16 @@
                     true
                 }
             };
-            let is = (known.told, Reverse(known.at), key);
+            let is = (known.times_sent, Reverse(known.observed_at), key);
             if self.due.remove(&was) || told_anew {
                 self.due.insert(is);
             }
             return told_anew;
         }
-        // Guards against a source that tells without end: it pushes out its own oldest, never another's.
+        // A source with too many items displaces its own oldest, never another's.
         let count = self.counts.entry(item.source.clone()).or_default();
-        if *count >= self.most && !slips::is(Slip::NoBound) {
-            let own = self.of(&item.source).map(|(key, kept)| (kept.at, key.clone()));
+        if *count >= self.most && !seeded_faults::is_active(SeededFault::NoBound) {
+            let own = self.items_of(&item.source).map(|(key, kept)| (kept.observed_at, key.clone()));
             let Some((oldest, place)) = own.min() else { return false };
             if oldest >= at {
                 return false;
@@ -150,14 +164,14 @@
         true
     }
 
-    fn of(&self, source: &str) -> impl Iterator<Item = (&Key, &Kept)> {
-        let (source, first) = (source.to_string(), (source.to_string(), String::new(), Kind::Reach));
+    fn items_of(&self, source: &str) -> impl Iterator<Item = (&ItemKey, &StoredItem)> {
+        let (source, first) = (source.to_string(), (source.to_string(), String::new(), FactKind::Reach));
         self.items.range(first..).take_while(move |(key, _)| key.0 == source)
     }
 
-    fn remove(&mut self, key: &Key) {
+    fn remove(&mut self, key: &ItemKey) {
         let Some(kept) = self.items.remove(key) else { return };
-        self.due.remove(&(kept.told, Reverse(kept.at), key.clone()));
+        self.due.remove(&(kept.times_sent, Reverse(kept.observed_at), key.clone()));
         if let Some(count) = self.counts.get_mut(&key.0) {
             *count -= 1;
             if *count == 0 {
@@ -166,10 +180,10 @@
         }
     }
 
-    /// Drops what is too old.
-    pub fn fade(&mut self, now: Micros) {
-        let old = |kept: &Kept| kept.at + self.keep_for < now;
-        let gone: Vec<Key> =
+    /// Removes expired items.
+    pub fn expire(&mut self, now: Micros) {
+        let old = |kept: &StoredItem| kept.observed_at + self.keep_for < now;
+        let gone: Vec<ItemKey> =
             self.items.iter().filter(|(_, kept)| old(kept)).map(|(key, _)| key.clone()).collect();
         gone.iter().for_each(|key| self.remove(key));
     }
@@ -182,28 +196,28 @@
         self.items.is_empty()
     }
 
-    /// What a source said last of a subject, of this kind.
-    pub fn get(&self, source: &str, subject: &str, kind: Kind) -> Option<&Kept> {
+    /// The last fact of this kind from a source about a subject.
+    pub fn get(&self, source: &str, subject: &str, kind: FactKind) -> Option<&StoredItem> {
         self.items.get(&(source.to_string(), subject.to_string(), kind))
     }
 
-    /// Source, subject and what was seen, in a fixed order.
-    pub fn all(&self) -> impl Iterator<Item = (&str, &str, &Kept)> {
+    /// All items with source and subject, in a fixed order.
+    pub fn all(&self) -> impl Iterator<Item = (&str, &str, &StoredItem)> {
         self.items.iter().map(|((source, subject, _), kept)| (source.as_str(), subject.as_str(), kept))
     }
 
-    /// What a source said last of a subject, as it travels from now on.
-    pub fn item(&self, now: Micros, source: &str, subject: &str, kind: Kind) -> Option<Item> {
+    /// The same as an item to be sent now.
+    pub fn item(&self, now: Micros, source: &str, subject: &str, kind: FactKind) -> Option<Item> {
         let kept = self.get(source, subject, kind)?;
-        let since = if slips::is(Slip::AgesBeginAnew) { now } else { kept.at };
+        let since = if seeded_faults::is_active(SeededFault::AgesBeginAnew) { now } else { kept.observed_at };
         let age = u32::try_from(now.saturating_sub(since).div_ceil(1_000)).unwrap_or(u32::MAX);
         let (zone, life, seq, fact) = (kept.zone, kept.life, kept.seq, kept.fact);
         Some(Item { source: source.into(), zone, life, seq, subject: subject.into(), fact, age })
     }
 
-    /// What is to be passed on next, within `room` bytes: what was told least often, and of that the newest. Each item
-    /// is told at most `times` by this gateway.
-    pub fn next(&mut self, now: Micros, room: usize, times: u32) -> Vec<Item> {
+    /// Takes the items to pass on next, within `room` bytes: those passed on least often, and of these the newest.
+    /// Each item is passed on at most `times` by this gateway.
+    pub fn next_items(&mut self, now: Micros, room: usize, times: u32) -> Vec<Item> {
         let (mut items, mut used, mut told) = (Vec::new(), 2_usize, Vec::new());
         for due in &self.due {
             let (_, _, (source, subject, kind)) = due;
@@ -220,9 +234,9 @@
             self.due.remove(&due);
             let (count, at, key) = due;
             if let Some(kept) = self.items.get_mut(&key) {
-                kept.told = count + 1;
-                if kept.told < times {
-                    self.due.insert((kept.told, at, key));
+                kept.times_sent = count + 1;
+                if kept.times_sent < times {
+                    self.due.insert((kept.times_sent, at, key));
                 }
             }
         }
--- a/crates/fellows/src/health.rs
+++ b/crates/fellows/src/health.rs
@@ -1,58 +1,59 @@
-//! How far a gateway trusts its own ears. One that misses answers doubts itself before others (as Lifeguard does): it
-//! waits for longer before it suspects anybody; one that hears nothing at all accuses nobody.
+//! Local health awareness as in Lifeguard: a gateway that misses answers doubts itself before others and waits longer
+//! before it suspects anybody; one that hears nothing suspects nobody.
 
 use tansyjunction::interface::Micros;
 
-/// Worst score; all waits are stretched to so many times and once more at it.
-const WORST: u32 = 8;
-/// Score for a pause of the process: it has missed all that came meanwhile.
-const PAUSED: u32 = 3;
+/// Worst score; all timeouts are then multiplied by this plus one.
+const MAX_SCORE: u32 = 8;
+/// Added to the score after a pause of the process, during which it missed all messages.
+const PAUSE_SCORE: u32 = 3;
 
-/// The health of an observer: 0 is well.
+/// Health of an observer; 0 is healthy.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Health {
+pub struct LocalHealth {
     score: u32,
-    /// When it last heard anybody.
-    heard: Micros,
+    /// When it last received a datagram.
+    last_heard: Micros,
 }
 
-impl Health {
+impl LocalHealth {
     pub fn new(now: Micros) -> Self {
-        Health { score: 0, heard: now }
+        LocalHealth { score: 0, last_heard: now }
     }
 
-    /// A datagram that counts has come.
-    pub fn hears(&mut self, now: Micros) {
-        self.heard = self.heard.max(now);
+    /// Records a valid datagram.
+    pub fn on_datagram(&mut self, now: Micros) {
+        self.last_heard = self.last_heard.max(now);
     }
 
-    /// A probe of its own was answered in time, or not.
-    pub fn probe(&mut self, answered: bool) {
-        self.score = if answered { self.score.saturating_sub(1) } else { (self.score + 1).min(WORST) };
+    /// Records whether an own probe was answered in time.
+    pub fn on_probe(&mut self, answered: bool) {
+        self.score = if answered { self.score.saturating_sub(1) } else { (self.score + 1).min(MAX_SCORE) };
     }
 
-    /// Others suspect it: they do not hear it, so it may not hear them.
-    pub fn suspected(&mut self) {
-        self.score = (self.score + 1).min(WORST);
+    /// Records that others suspect this gateway: they do not hear it, so it may not hear them.
+    pub fn on_suspected(&mut self) {
+        self.score = (self.score + 1).min(MAX_SCORE);
     }
 
-    /// The process stood still.
-    pub fn paused(&mut self) {
-        self.score = (self.score + PAUSED).min(WORST);
+    /// Records a pause of the process.
+    pub fn on_pause(&mut self) {
+        self.score = (self.score + PAUSE_SCORE).min(MAX_SCORE);
     }
 
+    /// The score, from 0 (healthy) to the worst.
     pub fn score(&self) -> u32 {
         self.score
     }
 
-    /// How long to wait in place of `usual`.
-    pub fn stretched(&self, usual: Micros) -> Micros {
+    /// Scales a timeout by the score.
+    pub fn scale(&self, usual: Micros) -> Micros {
         usual * Micros::from(1 + self.score)
     }
 
-    /// It has heard nobody for so long that its own network is the likeliest to be broken.
-    pub fn deaf(&self, now: Micros, silence: Micros) -> bool {
-        now.saturating_sub(self.heard) > silence
+    /// Whether nothing was received for so long that this gateway's own network is probably at fault.
+    pub fn hears_nothing(&self, now: Micros, silence: Micros) -> bool {
+        now.saturating_sub(self.last_heard) > silence
     }
 }
 
@@ -62,14 +63,14 @@
 
     #[test]
     fn missed_answers_stretch_its_waits_and_answers_bring_them_back() {
-        let mut health = Health::new(0);
-        (0..20).for_each(|_| health.probe(false));
-        assert_eq!((health.score(), health.stretched(100)), (8, 900));
-        (0..7).for_each(|_| health.probe(true));
-        assert_eq!(health.stretched(100), 200);
-        health.paused();
+        let mut health = LocalHealth::new(0);
+        (0..20).for_each(|_| health.on_probe(false));
+        assert_eq!((health.score(), health.scale(100)), (8, 900));
+        (0..7).for_each(|_| health.on_probe(true));
+        assert_eq!(health.scale(100), 200);
+        health.on_pause();
         assert_eq!(health.score(), 4);
-        health.hears(50);
-        assert_eq!([health.deaf(100, 50), health.deaf(101, 50)], [false, true]);
+        health.on_datagram(50);
+        assert_eq!([health.hears_nothing(100, 50), health.hears_nothing(101, 50)], [false, true]);
     }
 }
--- a/crates/fellows/src/identity.rs
+++ b/crates/fellows/src/identity.rs
@@ -1,29 +1,29 @@
-//! Who a gateway is to the others.
+//! Identity of a gateway.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// One gateway in one of its lives. Zone and region are part of it: one that moves begins another life.
+/// One incarnation of a gateway. Zone and region are part of it: moving starts another incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Fellow {
-    /// The same after a restart; no two that run at once may share it.
+pub struct GatewayIdentity {
+    /// Stays the same across restarts; unique among running gateways.
     pub name: String,
-    /// Where it takes datagrams.
+    /// Address for datagrams.
     pub address: SocketAddr,
     pub zone: u8,
     pub region: u8,
-    /// Grows with each start; of two lives under one name the larger is the present one.
+    /// Increases with each start; the largest one of a name is current.
     pub life: u64,
-    /// Drawn at the start: tells two that were given one name apart, and which of them yields.
+    /// Drawn at random at the start: distinguishes two gateways with one name, and decides which one yields.
     pub tag: u16,
 }
 
-impl foca::Identity for Fellow {
+impl foca::Identity for GatewayIdentity {
     type Addr = String;
 
     fn renew(&self) -> Option<Self> {
-        Some(Fellow { life: self.life + 1, ..self.clone() })
+        Some(GatewayIdentity { life: self.life + 1, ..self.clone() })
     }
 
     fn addr(&self) -> String {
--- a/crates/fellows/src/lib.rs
+++ b/crates/fellows/src/lib.rs
@@ -1,19 +1,19 @@
-//! Gateways that know each other: which of them live, in which zone and region, and what each has seen of the
-//! servers, with its age where it was seen. All is decided here without I/O, clock or threads; the host keeps the
-//! socket and calls [`Fellows::heard`], [`Fellows::settle`] and [`Fellows::saw`], then sends what
-//! [`Fellows::take_out`] holds.
+//! Gossip among gateways: which of them are alive, in which zone and region, and what each has observed of the
+//! servers, with its age. A state machine without I/O, clock or threads: the host owns the socket, calls
+//! [`GossipNode::receive`], [`GossipNode::run_due`] and [`GossipNode::observe`], and sends
+//! [`GossipNode::take_datagrams`].
 //!
-//! Evidence of others is weaker than a gateway's own answers: [`opinion`] counts it by observer and zone, and nothing
-//! of it says that a server is fresh, or takes a command where a rule forbids it.
+//! Evidence of others ranks below a gateway's own answers. [`opinion`] counts it by observer and zone; none of it
+//! makes a server count as fresh or receive a command against a rule.
 
 pub mod evidence;
-mod fellows;
+mod gossip_node;
 pub mod health;
 mod identity;
-pub mod members;
+pub mod membership;
 pub mod opinion;
 pub mod seal;
-pub mod slips;
+pub mod seeded_faults;
 
-pub use fellows::{Fellows, Terms};
-pub use identity::Fellow;
+pub use gossip_node::{GossipConfig, GossipNode};
+pub use identity::GatewayIdentity;
--- a/crates/fellows/src/seal.rs
+++ b/crates/fellows/src/seal.rs
@@ -1,32 +1,32 @@
-//! Datagrams that prove who wrote them, and each of which counts once: a keyed hash, a window against repeats and a
-//! bound on how long one was on its way. What does not verify costs one hash and changes nothing.
+//! Authenticated datagrams, each accepted once: a keyed hash, a replay window, and a limit on the time in transit. An
+//! invalid one costs one hash and changes nothing.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use tansyjunction::interface::Micros;
 
-use crate::slips::{self, Slip};
+use crate::seeded_faults::{self, SeededFault};
 
-/// Bytes of the hash that travel.
-const TAG: usize = 16;
-/// How far behind the newest a datagram may come and still count.
-const WINDOW: u64 = 64;
-/// How much faster than ours another clock may run: a hundredth.
-const DRIFT: u64 = 100;
-/// Senders that are kept track of; far more than there are gateways.
-const SENDERS: usize = 8_192;
+/// Bytes of the authentication tag.
+const TAG_BYTES: usize = 16;
+/// Size of the replay window.
+const REPLAY_WINDOW: u64 = 64;
+/// Largest clock drift as a divisor: 1 %.
+const DRIFT_DIVISOR: u64 = 100;
+/// Most senders with state; far more than there are gateways.
+const MAX_SENDERS: usize = 8_192;
 const MILLI: Micros = 1_000;
 
-/// The keys in use: the first seals, all open, so that a key can be changed while all run: add the new one everywhere,
-/// then put it first everywhere, then take the old one away.
+/// The keys in use: the first one seals, all of them open. To rotate keys while running, add the new one everywhere,
+/// then move it to the front everywhere, then remove the old one.
 #[derive(Clone)]
 pub struct Keys(Vec<[u8; 32]>);
 
 impl Keys {
-    /// One key a line, 64 hexadecimal digits; blank lines and those that begin with `#` are skipped.
+    /// Parses one key per line of 64 hexadecimal digits; blank lines and lines that begin with `#` are skipped.
     ///
-    /// Errors name the line.
+    /// Returns the invalid line.
     pub fn read(text: &str) -> Result<Keys, String> {
         let mut keys = Vec::new();
         for (place, line) in text.lines().map(str::trim).enumerate() {
@@ -41,89 +41,89 @@
         if keys.is_empty() { Err("there is no key in it".into()) } else { Ok(Keys(keys)) }
     }
 
-    /// Keys of the same file for another use: what is sealed for one use opens for no other.
+    /// Derives keys for another purpose: datagrams sealed for one purpose are invalid for any other.
     pub fn for_use(&self, context: &str) -> Keys {
         Keys(self.0.iter().map(|key| blake3::derive_key(context, key)).collect())
     }
 
-    fn tag(key: &[u8; 32], bytes: &[u8]) -> [u8; TAG] {
-        let mut tag = [0; TAG];
-        tag.copy_from_slice(&blake3::keyed_hash(key, bytes).as_bytes()[..TAG]);
+    fn tag(key: &[u8; 32], bytes: &[u8]) -> [u8; TAG_BYTES] {
+        let mut tag = [0; TAG_BYTES];
+        tag.copy_from_slice(&blake3::keyed_hash(key, bytes).as_bytes()[..TAG_BYTES]);
         tag
     }
 }
 
-/// What stands before the body.
+/// Header before the body.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Head {
+pub struct SealedHeader {
     pub from: String,
     pub life: u64,
     count: u64,
-    /// Milliseconds of the sender's own clock since some moment of this life.
+    /// Milliseconds on the sender's clock since some moment of this incarnation.
     sent: u64,
 }
 
-/// Why a datagram does not count.
+/// Why a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Refused {
-    /// It is not sealed with a key of ours, or makes no sense.
+pub enum RejectReason {
+    /// It has no valid tag, or is malformed.
     Unsealed,
-    /// It came before.
+    /// It is a repetition.
     Again,
-    /// It is of an earlier life of its sender, or of another gateway under its name.
+    /// It is from an earlier incarnation of its sender, or from another gateway of its name.
     Earlier,
-    /// It was on its way for too long.
+    /// It was in transit for too long.
     Old,
 }
 
-struct Sender {
+struct SenderState {
     life: u64,
     newest: u64,
-    /// Bit n: the one n before the newest has come.
+    /// Bit n: the datagram n before the newest was received.
     seen: u64,
-    /// The least that our clock was ahead of its, and when it was told.
+    /// Smallest offset of our clock to the sender's, and when it was updated.
     least: i64,
     at: Micros,
 }
 
-/// Seals what goes out and opens what comes in.
-pub struct Seals {
+/// Seals outgoing and opens incoming datagrams.
+pub struct DatagramSealer {
     keys: Keys,
     name: String,
     life: u64,
     count: u64,
     began: Micros,
     old_after: Micros,
-    senders: BTreeMap<String, Sender>,
+    senders: BTreeMap<String, SenderState>,
 }
 
-impl Seals {
-    /// `old_after`: a datagram that was on its way for longer than this, beyond the quickest one of its sender, does
-    /// not count.
+impl DatagramSealer {
+    /// Datagrams are rejected if their time in transit exceeds that of their sender's fastest one by more than
+    /// `old_after`.
     pub fn new(keys: Keys, name: &str, life: u64, now: Micros, old_after: Micros) -> Self {
         let senders = BTreeMap::new();
-        Seals { keys, name: name.into(), life, count: 0, began: now, old_after, senders }
+        DatagramSealer { keys, name: name.into(), life, count: 0, began: now, old_after, senders }
     }
 
-    /// Other keys from now on.
-    pub fn rekey(&mut self, keys: Keys) {
+    /// Replaces the keys.
+    pub fn set_keys(&mut self, keys: Keys) {
         self.keys = keys;
     }
 
-    /// Another life: counting goes on, so that nothing that was sent before could come again.
-    pub fn renew(&mut self, life: u64) {
+    /// Starts another incarnation; numbering continues, so that earlier datagrams cannot be replayed.
+    pub fn start_incarnation(&mut self, life: u64) {
         self.life = life;
     }
 
-    /// Bytes that sealing adds at most to a body of a sender with this name.
+    /// Most bytes added to a body of a sender with this name.
     pub fn overhead(name: &str) -> usize {
-        name.len() + 2 + 3 * 10 + TAG
+        name.len() + 2 + 3 * 10 + TAG_BYTES
     }
 
     pub fn seal(&mut self, now: Micros, body: &[u8]) -> Vec<u8> {
         self.count += 1;
         let sent = now.saturating_sub(self.began) / MILLI;
-        let head = Head { from: self.name.clone(), life: self.life, count: self.count, sent };
+        let head = SealedHeader { from: self.name.clone(), life: self.life, count: self.count, sent };
         let mut bytes = postcard::to_stdvec(&head).unwrap_or_default();
         bytes.extend_from_slice(body);
         let tag = Keys::tag(&self.keys.0[0], &bytes);
@@ -131,57 +131,66 @@
         bytes
     }
 
-    /// The head, the body, and how long beyond the quickest one of its sender it was on its way.
-    pub fn open<'a>(&mut self, now: Micros, bytes: &'a [u8]) -> Result<(Head, &'a [u8], Micros), Refused> {
-        let (sealed, tag) = bytes.split_last_chunk::<TAG>().ok_or(Refused::Unsealed)?;
+    /// Opens a datagram: header, body, and time in transit beyond the sender's fastest one.
+    pub fn open<'a>(
+        &mut self,
+        now: Micros,
+        bytes: &'a [u8],
+    ) -> Result<(SealedHeader, &'a [u8], Micros), RejectReason> {
+        let (sealed, tag) = bytes.split_last_chunk::<TAG_BYTES>().ok_or(RejectReason::Unsealed)?;
         let same = |key: &[u8; 32]| {
-            blake3::Hash::from(*blake3::keyed_hash(key, sealed).as_bytes()).as_bytes()[..TAG] == tag[..]
+            blake3::Hash::from(*blake3::keyed_hash(key, sealed).as_bytes()).as_bytes()[..TAG_BYTES] == tag[..]
         };
-        if !self.keys.0.iter().any(same) && !slips::is(Slip::AnyTag) {
-            return Err(Refused::Unsealed);
+        if !self.keys.0.iter().any(same) && !seeded_faults::is_active(SeededFault::AnyTag) {
+            return Err(RejectReason::Unsealed);
         }
-        let (head, body) = postcard::take_from_bytes::<Head>(sealed).map_err(|_| Refused::Unsealed)?;
+        let (head, body) =
+            postcard::take_from_bytes::<SealedHeader>(sealed).map_err(|_| RejectReason::Unsealed)?;
         let ahead = (now / MILLI) as i64 - head.sent.min(i64::MAX as u64) as i64;
         let known = self.senders.get(&head.from);
-        if known.is_some_and(|sender| sender.life > head.life) && !slips::is(Slip::EarlierCounts) {
-            return Err(Refused::Earlier);
+        if known.is_some_and(|sender| sender.life > head.life)
+            && !seeded_faults::is_active(SeededFault::EarlierCounts)
+        {
+            return Err(RejectReason::Earlier);
         }
-        if known.is_none() && self.senders.len() >= SENDERS {
-            return Err(Refused::Again);
+        if known.is_none() && self.senders.len() >= MAX_SENDERS {
+            return Err(RejectReason::Again);
         }
         let fresh = known.is_none_or(|sender| sender.life < head.life);
         if fresh {
-            let sender = Sender { life: head.life, newest: head.count, seen: 1, least: ahead, at: now };
+            let sender = SenderState { life: head.life, newest: head.count, seen: 1, least: ahead, at: now };
             self.senders.insert(head.from.clone(), sender);
             return Ok((head, body, 0));
         }
-        let Some(sender) = self.senders.get_mut(&head.from) else { return Err(Refused::Again) };
+        let Some(sender) = self.senders.get_mut(&head.from) else { return Err(RejectReason::Again) };
         if head.count > sender.newest {
             let step = head.count - sender.newest;
-            sender.seen = if step < WINDOW { sender.seen << step | 1 } else { 1 };
+            sender.seen = if step < REPLAY_WINDOW { sender.seen << step | 1 } else { 1 };
             sender.newest = head.count;
         } else {
             let back = sender.newest - head.count;
-            if !slips::is(Slip::NoWindow) && (back >= WINDOW || sender.seen & (1 << back) != 0) {
-                return Err(Refused::Again);
+            if !seeded_faults::is_active(SeededFault::NoWindow)
+                && (back >= REPLAY_WINDOW || sender.seen & (1 << back) != 0)
+            {
+                return Err(RejectReason::Again);
             }
-            sender.seen |= 1 << back.min(WINDOW - 1);
+            sender.seen |= 1 << back.min(REPLAY_WINDOW - 1);
         }
-        // Guards against datagrams that lay somewhere for long and would pass old evidence off as new: no clock but the
-        // two own ones is needed. The least may rise by what the clocks may drift apart.
-        let drift = (now.saturating_sub(sender.at) / DRIFT / MILLI) as i64;
+        // Delayed datagrams must not make old evidence look new. Only the two own clocks are used; the smallest
+        // offset may grow by the clock drift.
+        let drift = (now.saturating_sub(sender.at) / DRIFT_DIVISOR / MILLI) as i64;
         (sender.least, sender.at) = (ahead.min(sender.least + drift), now);
         let late = (ahead - sender.least).max(0) as Micros * MILLI;
-        if late > self.old_after && !slips::is(Slip::OldCounts) {
-            Err(Refused::Old)
+        if late > self.old_after && !seeded_faults::is_active(SeededFault::OldCounts) {
+            Err(RejectReason::Old)
         } else {
             Ok((head, body, late))
         }
     }
 
-    /// The body of a datagram that opened before, or was refused as of an earlier life.
+    /// The body of a datagram that was opened before, or rejected as of an earlier incarnation.
     pub fn body(bytes: &[u8]) -> Option<&[u8]> {
-        let (sealed, _) = bytes.split_last_chunk::<TAG>()?;
-        postcard::take_from_bytes::<Head>(sealed).ok().map(|(_, body)| body)
+        let (sealed, _) = bytes.split_last_chunk::<TAG_BYTES>()?;
+        postcard::take_from_bytes::<SealedHeader>(sealed).ok().map(|(_, body)| body)
     }
 }
--- a/crates/fellows/tests/fellows/evidence.rs
+++ b/crates/fellows/tests/fellows/evidence.rs
@@ -1,8 +1,8 @@
-//! Evidence merges to the same end in any order, and one wrong instance weighs one.
+//! Evidence merges to the same result in any order, and a single wrong observer counts once.
 
 use proptest::prelude::*;
-use tansyjunction_fellows::evidence::{Evidence, Fact, Item};
-use tansyjunction_fellows::opinion::{doubtful, leader, opinions};
+use tansyjunction_fellows::evidence::{EvidenceStore, Fact, Item};
+use tansyjunction_fellows::opinion::{agreed_primary, summarize, unreliable_observers};
 
 const NOW: u64 = 100_000_000;
 const KEEP: u64 = 30_000_000;
@@ -36,13 +36,13 @@
 }
 
 fn merged<'a>(items: impl Iterator<Item = &'a Item>) -> Vec<(String, String, Fact, u64, u32, u64)> {
-    let mut evidence = Evidence::new(KEEP, 64);
+    let mut evidence = EvidenceStore::new(KEEP, 64);
     items.for_each(|item| {
         evidence.merge(NOW, item, 0);
     });
     let all = evidence.all();
     all.map(|(source, subject, kept)| {
-        (source.into(), subject.into(), kept.fact, kept.life, kept.seq, kept.at)
+        (source.into(), subject.into(), kept.fact, kept.life, kept.seq, kept.observed_at)
     })
     .collect()
 }
@@ -60,31 +60,31 @@
 
     #[test]
     fn nothing_is_kept_that_is_too_old_and_nothing_grows_younger(items in prop::collection::vec(some(), 0..14), late in 0u64..40_000_000) {
-        let mut evidence = Evidence::new(KEEP, 64);
+        let mut evidence = EvidenceStore::new(KEEP, 64);
         for item in &items {
             evidence.merge(NOW, item, late);
         }
         for (_, _, kept) in evidence.all() {
-            prop_assert!(kept.at + KEEP >= NOW && kept.at + late <= NOW);
+            prop_assert!(kept.observed_at + KEEP >= NOW && kept.observed_at + late <= NOW);
         }
-        let before: Vec<_> = evidence.all().map(|(_, _, kept)| kept.at).collect();
-        // The same told again as if it had only just been seen, as by a repeated datagram, changes nothing.
-        for item in evidence.clone().next(NOW, usize::MAX, 1) {
+        let before: Vec<_> = evidence.all().map(|(_, _, kept)| kept.observed_at).collect();
+        // An item repeated as if it had just been observed changes nothing.
+        for item in evidence.clone().next_items(NOW, usize::MAX, 1) {
             evidence.merge(NOW, &Item { age: 0, ..item }, 0);
         }
-        let again: Vec<_> = evidence.all().map(|(_, _, kept)| kept.at).collect();
+        let again: Vec<_> = evidence.all().map(|(_, _, kept)| kept.observed_at).collect();
         prop_assert_eq!(&again, &before);
-        let items = evidence.next(NOW + 1, usize::MAX, 1);
-        let mut second = Evidence::new(KEEP, 64);
+        let items = evidence.next_items(NOW + 1, usize::MAX, 1);
+        let mut second = EvidenceStore::new(KEEP, 64);
         items.iter().for_each(|item| { second.merge(NOW + 1, item, 0); });
-        let after: Vec<_> = second.all().map(|(_, _, kept)| kept.at).collect();
-        // Passed on, an item is at most a millisecond older than it was, and never younger.
+        let after: Vec<_> = second.all().map(|(_, _, kept)| kept.observed_at).collect();
+        // In transit an item's age grows by at most a millisecond too much, and never shrinks.
         prop_assert!(after.iter().zip(&before).all(|(after, before)| after <= before && before - after <= 1_000));
     }
 
     #[test]
     fn a_source_is_bounded_and_pushes_out_only_its_own(count in 1usize..200) {
-        let mut evidence = Evidence::new(KEEP, 16);
+        let mut evidence = EvidenceStore::new(KEEP, 16);
         evidence.merge(NOW, &item("quiet", 0, 1, "s", Fact::Answers, 20_000), 0);
         for n in 0..count {
             evidence.merge(NOW, &item("loud", 1, n as u32, &format!("s{n}"), Fact::Refuses, 100), 0);
@@ -94,13 +94,13 @@
     }
 }
 
-/// The promises above by name, for whoever puts a mistake in.
+/// The guarantees above by name, for the test of seeded faults.
 pub const ORDER: fn() = any_order_and_any_repetition_ends_the_same;
 pub const AGE: fn() = nothing_is_kept_that_is_too_old_and_nothing_grows_younger;
 pub const BOUND: fn() = a_source_is_bounded_and_pushes_out_only_its_own;
 
-fn told(items: &[Item]) -> Evidence {
-    let mut evidence = Evidence::new(KEEP, 64);
+fn told(items: &[Item]) -> EvidenceStore {
+    let mut evidence = EvidenceStore::new(KEEP, 64);
     items.iter().for_each(|item| {
         evidence.merge(NOW, item, 0);
     });
@@ -123,8 +123,8 @@
             .iter()
             .map(|(s, zone, fact)| item(s, *zone, 1, "x", *fact, if s.starts_with("old") { 900 } else { 5 }))
             .collect();
-        let found = opinions(NOW, &told(&items), "own");
-        assert_eq!(found.get("x").is_some_and(|opinion| opinion.bad().is_some()), bad, "{said:?}");
+        let found = summarize(NOW, &told(&items), "own");
+        assert_eq!(found.get("x").is_some_and(|opinion| opinion.bad_since().is_some()), bad, "{said:?}");
     }
 }
 
@@ -135,8 +135,8 @@
     items.push(item("well", 1, 1, "s0", Fact::Refuses, 5));
     items.extend((1..6).map(|n| item("well", 1, n + 1, &format!("s{n}"), Fact::Answers, 5)));
     let evidence = told(&items);
-    assert_eq!(doubtful(&evidence).into_iter().collect::<Vec<_>>(), ["broken"]);
-    assert!(opinions(NOW, &evidence, "own").values().all(|opinion| opinion.bad().is_none()));
+    assert_eq!(unreliable_observers(&evidence).into_iter().collect::<Vec<_>>(), ["broken"]);
+    assert!(summarize(NOW, &evidence, "own").values().all(|opinion| opinion.bad_since().is_none()));
 }
 
 #[test]
@@ -145,7 +145,7 @@
     let names = ["p", "q", "r"];
     for (said, leads) in [
         (vec![("a", 1, "p", Leads, 900)], Some("p")),
-        // A change of primary: one has heard the new one, and somebody that the old one follows.
+        // A change of primary: one observer has seen the new one, and another that the old one follows.
         (
             vec![
                 ("a", 1, "p", Leads, 900),
@@ -155,15 +155,15 @@
             ],
             Some("q"),
         ),
-        // The old one died: whoever found it gone has no voice for it.
+        // The old primary died: observers that found it gone do not vote for it.
         (vec![("a", 1, "p", Leads, 900), ("a", 2, "p", Refuses, 50), ("b", 1, "q", Leads, 400)], Some("q")),
-        // One that lies is the newest and has one voice.
+        // A lying observer has the newest item and one vote.
         (vec![("a", 1, "p", Leads, 900), ("b", 1, "p", Leads, 800), ("liar", 1, "r", Leads, 0)], Some("p")),
         (vec![("a", 1, "p", Leads, 900), ("b", 1, "p", Follows, 100)], None),
         (vec![("own", 1, "p", Leads, 1)], None),
     ] {
         let items: Vec<Item> =
             said.iter().map(|(s, seq, of, fact, age)| item(s, 0, *seq, of, *fact, *age)).collect();
-        assert_eq!(leader(&told(&items), "own", &names).map(|found| found.0), leads, "{said:?}");
+        assert_eq!(agreed_primary(&told(&items), "own", &names).map(|found| found.0), leads, "{said:?}");
     }
 }
--- a/crates/fellows/tests/fellows/main.rs
+++ b/crates/fellows/tests/fellows/main.rs
@@ -1,4 +1,4 @@
-//! What gateways that know each other promise, in a virtual network, and that each seeded mistake breaks a promise.
+//! Guarantees of the gossip in a simulated network. Each seeded fault must violate a guarantee.
 
 mod evidence;
 mod membership;
--- a/crates/fellows/tests/fellows/membership.rs
+++ b/crates/fellows/tests/fellows/membership.rs
@@ -1,27 +1,27 @@
-//! Membership under each failure that it is built for, in a virtual network.
+//! Membership under each kind of failure, in a simulated network.
 
 use crate::net::*;
-use tansyjunction_fellows::Terms;
+use tansyjunction_fellows::GossipConfig;
 use tansyjunction_fellows::evidence::Fact;
-use tansyjunction_fellows::members::{News, Standing};
+use tansyjunction_fellows::membership::{MembershipEvent, PeerStatus};
 
 fn all(count: usize) -> Vec<usize> {
     (0..count).collect()
 }
 
 fn joined(seed: u64, count: usize) -> Net {
-    let mut net = Net::with(seed, count, Terms::default());
+    let mut net = Net::with(seed, count, GossipConfig::default());
     let nodes = all(count);
     assert!(net.until(30 * SECOND, |net| net.agreed(&nodes)).is_some(), "seed {seed}: all know each other");
     net
 }
 
-/// News of deaths that any of these gateways told since the last look.
+/// Deaths reported by any of these gateways since the last call.
 fn deaths(net: &mut Net, by: &[usize]) -> Vec<(usize, String)> {
     let mut found = Vec::new();
     for place in by {
-        for news in net.nodes[*place].fellows.take_news() {
-            if let News::Down(fellow) = news {
+        for news in net.nodes[*place].fellows.take_events() {
+            if let MembershipEvent::Down(fellow) = news {
                 found.push((*place, fellow.name));
             }
         }
@@ -35,19 +35,18 @@
         let mut net = joined(seed, 9);
         let others: Vec<usize> = all(9).into_iter().filter(|n| *n != 4).collect();
         net.nodes[4].up = false;
-        let dead = |net: &Net| others.iter().all(|by| net.stands(*by, 4) == Some(Standing::Down));
+        let dead = |net: &Net| others.iter().all(|by| net.stands(*by, 4) == Some(PeerStatus::Down));
         assert!(net.until(30 * SECOND, dead).is_some(), "seed {seed}");
         net.start(4, "n4", 2_000);
         assert!(net.until(30 * SECOND, |net| net.agreed(&all(9))).is_some(), "seed {seed}: it is back");
     }
 }
 
-/// Found by the rig: nine started together, three of them found each other first and none of these was ever alone
-/// again.
+/// Nine gateways start together, three of them find each other first, and none of these is isolated afterwards.
 #[test]
 pub fn two_companies_that_began_apart_become_one() {
     for seed in 1..=5 {
-        let mut net = Net::with(seed, 9, Terms::default());
+        let mut net = Net::with(seed, 9, GossipConfig::default());
         let (near, far): (Vec<usize>, Vec<usize>) = all(9).into_iter().partition(|n| [0, 3, 4].contains(n));
         net.cut_between(&near, &far);
         net.run(20 * SECOND);
@@ -70,7 +69,7 @@
 #[test]
 pub fn one_that_leaves_is_gone_at_once_and_no_zone_is_called_dark() {
     let mut net = joined(3, 9);
-    // All of zone 1, one after the other, as in a rolling restart.
+    // Restarts zone 1, one gateway after the other.
     for place in [1, 4, 7] {
         let now = net.now;
         net.nodes[place].fellows.leave(now);
@@ -80,7 +79,7 @@
         net.run(3 * SECOND);
     }
     for by in [0, 3, 6, 2, 5, 8] {
-        assert_eq!(net.stands(by, 1), Some(Standing::Down));
+        assert_eq!(net.stands(by, 1), Some(PeerStatus::Down));
         assert!(net.nodes[by].fellows.dark_zones().is_empty(), "{by}");
     }
 }
@@ -113,7 +112,7 @@
         (net.loss, net.doubles, net.delay) = (0.3, 0.3, (500, 60_000));
         net.run(60 * SECOND);
         assert_eq!(deaths(&mut net, &all(15)), [], "seed {seed}");
-        // Nor is anybody told that it is dead and begins another life.
+        // No gateway is told that it is dead or starts another incarnation.
         let lives: Vec<u64> = net.nodes.iter().map(|node| node.fellows.members().me().life).collect();
         assert_eq!(lives, (1_000..1_015).collect::<Vec<u64>>(), "seed {seed}");
     }
@@ -124,7 +123,7 @@
     let mut net = joined(2, 9);
     let others: Vec<usize> = all(9).into_iter().filter(|n| *n != 3).collect();
     deaths(&mut net, &all(9));
-    // Its words get out, none gets in.
+    // Its messages get out, but none gets in.
     net.cut.extend(others.iter().map(|other| (*other, 3)));
     net.run(60 * SECOND);
     assert_eq!(deaths(&mut net, &[3]), []);
@@ -139,11 +138,11 @@
     for seed in 1..=5 {
         let mut net = joined(seed, 9);
         deaths(&mut net, &all(9));
-        // As it falls still, it suspects one that it has not heard for a moment: the time for that runs out meanwhile.
+        // When it is paused it suspects a peer that was silent for a moment, and that timer expires meanwhile.
         net.cut.extend((0..9).filter(|other| *other != 5).map(|other| (other, 5)));
         net.run(3 * SECOND / 2);
         net.nodes[5].paused = net.now + 5 * SECOND;
-        // Of what comes meanwhile its socket holds little: it has heard somebody, and not all that was said.
+        // Its socket holds only a part of the messages sent meanwhile.
         let some = [(0, 5), (1, 5), (2, 5), (3, 5)];
         net.cut.retain(|way| !some.contains(way));
         net.run(SECOND / 2);
@@ -151,10 +150,10 @@
         net.run(5 * SECOND - SECOND / 2 - 1);
         net.cut.clear();
         net.run(15 * SECOND);
-        let news = net.nodes[5].fellows.take_news();
-        assert!(!news.iter().any(|news| matches!(news, News::Down(_))), "seed {seed}: {news:?}");
-        // It knows that it stood still, and trusts itself less.
-        assert!(news.iter().any(|news| matches!(news, News::Paused(_))), "seed {seed}: {news:?}");
+        let news = net.nodes[5].fellows.take_events();
+        assert!(!news.iter().any(|news| matches!(news, MembershipEvent::Down(_))), "seed {seed}: {news:?}");
+        // It notices the pause, and its health score is worse.
+        assert!(news.iter().any(|news| matches!(news, MembershipEvent::Paused(_))), "seed {seed}: {news:?}");
         assert!(net.until(30 * SECOND, |net| net.agreed(&all(9))).is_some(), "seed {seed}");
     }
 }
@@ -180,7 +179,7 @@
     let (killed, left): (Vec<usize>, Vec<usize>) = all(30).into_iter().partition(|n| n % 10 < 7);
     killed.iter().for_each(|place| net.nodes[*place].up = false);
     let found = |net: &Net| {
-        left.iter().all(|by| killed.iter().all(|of| net.stands(*by, *of) == Some(Standing::Down)))
+        left.iter().all(|by| killed.iter().all(|of| net.stands(*by, *of) == Some(PeerStatus::Down)))
     };
     assert!(net.until(90 * SECOND, found).is_some());
     for place in &killed {
@@ -193,7 +192,7 @@
 pub fn what_one_saw_reaches_all_with_its_age_and_fades() {
     let mut net = joined(8, 15);
     let now = net.now;
-    net.nodes[0].fellows.saw(now, "s1", Fact::Refuses);
+    net.nodes[0].fellows.observe(now, "s1", Fact::Refuses);
     let told =
         |net: &Net, n: usize| net.nodes[n].fellows.evidence().all().any(|(_, subject, _)| subject == "s1");
     let took = net.until(15 * SECOND, |net| all(15).iter().all(|n| told(net, *n)));
@@ -201,8 +200,8 @@
     for node in &net.nodes {
         let (_, _, kept) =
             node.fellows.evidence().all().find(|(_, subject, _)| *subject == "s1").expect("told");
-        // No clock but the own ones: the age is right to some milliseconds a hop, and never told too young by more.
-        let off = kept.at.abs_diff(now);
+        // Ages are correct within some ms per hop by each gateway's own clock, and never too young by more.
+        let off = kept.observed_at.abs_diff(now);
         assert!(off < 50_000, "{off}");
     }
     net.run(35 * SECOND);
@@ -213,9 +212,9 @@
 pub fn datagrams_that_lay_for_long_or_are_not_sealed_change_nothing() {
     let mut net = joined(6, 6);
     let now = net.now;
-    net.nodes[1].fellows.saw(now, "s9", Fact::Hangs);
-    net.nodes[1].fellows.settle(now + SECOND / 5);
-    let caught = net.nodes[1].fellows.take_out();
+    net.nodes[1].fellows.observe(now, "s9", Fact::Hangs);
+    net.nodes[1].fellows.run_due(now + SECOND / 5);
+    let caught = net.nodes[1].fellows.take_datagrams();
     net.run(10 * SECOND);
     for (_, bytes) in &caught {
         let at = net.now;
@@ -226,11 +225,11 @@
     }
     let before = net.nodes[0].fellows.counts().heard;
     let evidence = net.nodes[0].fellows.evidence().clone();
-    let standing = net.nodes[0].fellows.members().living().count();
+    let standing = net.nodes[0].fellows.members().alive().count();
     let at = net.now;
     net.run(1_000);
     assert!(!caught.is_empty() && net.now == at + 1_000);
-    assert_eq!(net.nodes[0].fellows.members().living().count(), standing);
+    assert_eq!(net.nodes[0].fellows.members().alive().count(), standing);
     let fresh = net.nodes[0].fellows.counts().heard - before;
     assert!(fresh <= 2, "{fresh} of the network's own");
     assert_eq!(net.nodes[0].fellows.evidence().len(), evidence.len());
--- a/crates/fellows/tests/fellows/model.rs
+++ b/crates/fellows/tests/fellows/model.rs
@@ -1,32 +1,32 @@
-//! Merging over all interleavings of a small world: three gateways see, tell, tell again, begin anew and hear each
-//! other's words in any order, late or never.
+//! Model check of merging: three gateways observe, send, repeat, restart and receive messages in any order, late or
+//! never.
 
 use std::collections::BTreeSet;
 
 use stateright::{Checker, Model, Property};
-use tansyjunction_fellows::evidence::{Evidence, Fact, Item};
+use tansyjunction_fellows::evidence::{EvidenceStore, Fact, Item};
 
 const NOW: u64 = 50_000_000;
 const GATEWAYS: usize = 3;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    stores: Vec<Evidence>,
-    /// All that was ever said, with its number.
+    stores: Vec<EvidenceStore>,
+    /// All messages ever sent, by number.
     said: Vec<Item>,
-    /// Which of that each has heard.
+    /// Messages received by each gateway.
     heard: Vec<BTreeSet<usize>>,
-    /// Each gateway's life and number.
+    /// Each gateway's incarnation and last number.
     lives: Vec<(u64, u32)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Act {
-    /// A gateway sees something of the one server.
+    /// A gateway observes the server.
     See(usize, Fact),
-    /// It begins another life and knows nothing.
+    /// It restarts as another incarnation without state.
     Anew(usize),
-    /// What was said with this number comes, perhaps not for the first time.
+    /// The message of this number arrives, possibly again.
     Hear(usize, usize),
 }
 
@@ -37,14 +37,14 @@
 
 impl Small {
     fn merged(items: impl Iterator<Item = Item>) -> Vec<(String, Fact, u64, u32)> {
-        let mut store = Evidence::new(30_000_000, 8);
+        let mut store = EvidenceStore::new(30_000_000, 8);
         items.for_each(|item| {
             store.merge(NOW, &item, 0);
         });
         Small::content(&store)
     }
 
-    fn content(store: &Evidence) -> Vec<(String, Fact, u64, u32)> {
+    fn content(store: &EvidenceStore) -> Vec<(String, Fact, u64, u32)> {
         store.all().map(|(source, _, kept)| (source.into(), kept.fact, kept.life, kept.seq)).collect()
     }
 }
@@ -55,7 +55,7 @@
 
     fn init_states(&self) -> Vec<World> {
         vec![World {
-            stores: vec![Evidence::new(30_000_000, 8); GATEWAYS],
+            stores: vec![EvidenceStore::new(30_000_000, 8); GATEWAYS],
             said: Vec::new(),
             heard: vec![BTreeSet::new(); GATEWAYS],
             lives: vec![(1, 0); GATEWAYS],
@@ -90,7 +90,7 @@
             }
             Act::Anew(gateway) => {
                 next.lives[gateway] = (next.lives[gateway].0 + 1, 0);
-                next.stores[gateway] = Evidence::new(30_000_000, 8);
+                next.stores[gateway] = EvidenceStore::new(30_000_000, 8);
                 next.heard[gateway].clear();
             }
             Act::Hear(gateway, number) => {
@@ -103,7 +103,7 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            // Whoever heard the same knows the same, in whatever order and however often it came.
+            // Gateways that received the same messages have the same state, in any order and number.
             Property::always("the same words lead to the same knowledge", |_, world: &World| {
                 world.stores.iter().zip(&world.heard).all(|(store, heard)| {
                     Small::content(store)
@@ -122,8 +122,9 @@
                 })
             }),
             Property::sometimes("a later life is heard by all", |_, world: &World| {
-                let heard =
-                    |store: &Evidence| store.all().any(|(source, _, kept)| source == "n0" && kept.life == 2);
+                let heard = |store: &EvidenceStore| {
+                    store.all().any(|(source, _, kept)| source == "n0" && kept.life == 2)
+                };
                 world.stores.iter().all(heard)
             }),
         ]
--- a/crates/fellows/tests/fellows/net.rs
+++ b/crates/fellows/tests/fellows/net.rs
@@ -1,12 +1,12 @@
-//! A network in virtual time for any number of gateways' fellows: delay, loss in each direction, doubling,
-//! reordering, cuts and pauses, all from one seed.
+//! Simulated network in virtual time: delay, loss per direction, duplication, reordering, partitions and pauses, all
+//! from one seed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use tansyjunction_fellows::members::Standing;
+use tansyjunction_fellows::membership::PeerStatus;
 use tansyjunction_fellows::seal::Keys;
-use tansyjunction_fellows::{Fellow, Fellows, Terms};
+use tansyjunction_fellows::{GatewayIdentity, GossipConfig, GossipNode};
 
 pub const SECOND: u64 = 1_000_000;
 
@@ -22,32 +22,32 @@
 }
 
 pub struct Node {
-    pub fellows: Fellows,
+    pub fellows: GossipNode,
     pub up: bool,
-    /// Stands still until then.
+    /// Paused until this time.
     pub paused: u64,
 }
 
 pub struct Net {
     pub now: u64,
     pub nodes: Vec<Node>,
-    /// On the way: when it comes, in which order it was sent, where to, and what.
+    /// Messages in transit: arrival time, sequence, target and content.
     way: BTreeMap<(u64, u64), (usize, Vec<u8>)>,
     places: BTreeMap<SocketAddr, usize>,
     sent: u64,
     rng: fastrand::Rng,
     pub loss: f64,
     pub doubles: f64,
-    /// Microseconds one way, and as many more by chance.
+    /// One-way delay in µs; a random delay of up to the same is added.
     pub delay: (u64, u64),
-    /// Directions that nothing passes.
+    /// Blocked directions.
     pub cut: BTreeSet<(usize, usize)>,
-    pub terms: Terms,
+    pub terms: GossipConfig,
     pub bytes: u64,
 }
 
 impl Net {
-    pub fn new(seed: u64, terms: Terms) -> Net {
+    pub fn new(seed: u64, terms: GossipConfig) -> Net {
         Net {
             now: 1_000 * SECOND,
             nodes: Vec::new(),
@@ -64,8 +64,8 @@
         }
     }
 
-    /// So many gateways over three zones and two regions: zones 0 and 1 in region 0, zone 2 in region 1.
-    pub fn with(seed: u64, count: usize, terms: Terms) -> Net {
+    /// Creates gateways in three zones and two regions: zones 0 and 1 in region 0, zone 2 in region 1.
+    pub fn with(seed: u64, count: usize, terms: GossipConfig) -> Net {
         let mut net = Net::new(seed, terms);
         for number in 0..count {
             net.start(number, &format!("n{number}"), 1_000 + number as u64);
@@ -78,13 +78,13 @@
         (zone, zone / 2)
     }
 
-    /// Starts a gateway, or starts it anew without what it knew.
+    /// Starts a gateway, or restarts it without state.
     pub fn start(&mut self, number: usize, name: &str, life: u64) {
         let (zone, region) = Net::zone(number);
         let tag = self.rng.u16(..);
-        let me = Fellow { name: name.into(), address: address(number), zone, region, life, tag };
+        let me = GatewayIdentity { name: name.into(), address: address(number), zone, region, life, tag };
         let seeds = (0..3).map(|n| (format!("n{n}"), address(n))).collect();
-        let fellows = Fellows::new(self.now, me, seeds, keys(), self.terms.clone(), self.rng.u64(..));
+        let fellows = GossipNode::new(self.now, me, seeds, keys(), self.terms.clone(), self.rng.u64(..));
         let node = Node { fellows, up: true, paused: 0 };
         if number < self.nodes.len() {
             self.nodes[number] = node;
@@ -103,10 +103,10 @@
         }
     }
 
-    /// Carries what a gateway has to send.
+    /// Sends a gateway's outgoing messages.
     pub fn carry(&mut self, from: usize) {
-        for (to, bytes) in self.nodes[from].fellows.take_out() {
-            assert!(bytes.len() <= self.terms.most, "{} bytes", bytes.len());
+        for (to, bytes) in self.nodes[from].fellows.take_datagrams() {
+            assert!(bytes.len() <= self.terms.max_datagram, "{} bytes", bytes.len());
             self.bytes += bytes.len() as u64;
             let Some(&place) = self.places.get(&to) else { continue };
             if self.cut.contains(&(from, place)) {
@@ -131,12 +131,12 @@
 
     fn due(&self, place: usize) -> u64 {
         let node = &self.nodes[place];
-        if node.up { node.fellows.next().max(node.paused) } else { u64::MAX }
+        if node.up { node.fellows.next_due().max(node.paused) } else { u64::MAX }
     }
 
     pub fn run(&mut self, time: u64) {
         let until = self.now + time;
-        // When each is to be called next; kept beside the nodes, so that thousands need not be looked through.
+        // Next call of each node; kept separately so that not thousands of nodes are searched.
         let mut dues: Vec<u64> = (0..self.nodes.len()).map(|place| self.due(place)).collect();
         let mut order: BTreeSet<(u64, usize)> = dues.iter().copied().zip(0..).collect();
         loop {
@@ -152,15 +152,15 @@
                 let Some((_, (place, bytes))) = self.way.pop_first() else { return };
                 let node = &mut self.nodes[place];
                 if node.paused > self.now {
-                    // The kernel keeps it until the process goes on.
+                    // The kernel buffers it until the process continues.
                     let later = node.paused;
                     self.deliver(later, place, bytes);
                 } else if node.up {
-                    node.fellows.heard(self.now, &bytes);
+                    node.fellows.receive(self.now, &bytes);
                 }
                 place
             } else {
-                self.nodes[first].fellows.settle(self.now);
+                self.nodes[first].fellows.run_due(self.now);
                 first
             };
             self.carry(touched);
@@ -170,20 +170,20 @@
         }
     }
 
-    /// How `of` stands for `by`.
-    pub fn stands(&self, by: usize, of: usize) -> Option<Standing> {
+    /// Status of `of` as seen by `by`.
+    pub fn stands(&self, by: usize, of: usize) -> Option<PeerStatus> {
         let name = self.nodes[of].fellows.members().me().name.clone();
         let seen = self.nodes[by].fellows.members().all().find(|seen| seen.fellow.name == name);
         seen.map(|seen| seen.standing)
     }
 
-    /// Whether each of these knows each other one to be alive.
+    /// Whether each of these considers all others alive.
     pub fn agreed(&self, nodes: &[usize]) -> bool {
-        let knows = |a: usize, b: usize| a == b || self.stands(a, b) == Some(Standing::Alive);
+        let knows = |a: usize, b: usize| a == b || self.stands(a, b) == Some(PeerStatus::Alive);
         nodes.iter().all(|a| nodes.iter().all(|b| knows(*a, *b)))
     }
 
-    /// Runs until it is so; the time that took, or None where it is not within `most`.
+    /// Runs until the condition holds; returns the time that took, or `None` if longer than `most`.
     pub fn until(&mut self, most: u64, so: impl Fn(&Net) -> bool) -> Option<u64> {
         let began = self.now;
         while !so(self) {
--- a/crates/fellows/tests/fellows/sizes.rs
+++ b/crates/fellows/tests/fellows/sizes.rs
@@ -1,26 +1,26 @@
-//! The same code at sizes that sockets do not reach, in virtual time: how long it takes and what it costs. The long
-//! form prints the table of docs/fellows.md.
+//! Behaviour and cost at sizes that cannot be tested with sockets, in virtual time. The long form prints the table of
+//! docs/fellows.md.
 
 use std::time::Instant;
 
-use tansyjunction_fellows::Terms;
+use tansyjunction_fellows::GossipConfig;
 use tansyjunction_fellows::evidence::Fact;
-use tansyjunction_fellows::members::{News, Standing};
+use tansyjunction_fellows::membership::{MembershipEvent, PeerStatus};
 
 use crate::net::*;
 
-/// One size, in words: join, cost at rest, one death, one word, false deaths under loss.
+/// Results for one size as text: join, idle cost, one death, one item, false deaths under loss.
 fn row(count: usize, loss: f64) -> String {
-    let mut net = Net::with(5, count, Terms::default());
+    let mut net = Net::with(5, count, GossipConfig::default());
     let wall = Instant::now();
     let joined = net.until(120 * SECOND, |net| {
-        net.nodes.iter().all(|node| node.fellows.members().living().count() == count - 1)
+        net.nodes.iter().all(|node| node.fellows.members().alive().count() == count - 1)
     });
     net.loss = loss;
     let before = net.bytes;
     net.run(10 * SECOND);
     let bytes = (net.bytes - before) as f64 / 10.0 / count as f64;
-    // Seconds until half and all know.
+    // Seconds until half and all gateways know.
     let spread = |net: &mut Net, knows: &dyn Fn(&Net, usize) -> bool| {
         let began = net.now;
         let mut half = None;
@@ -37,14 +37,14 @@
         }
     };
     let now = net.now;
-    net.nodes[1].fellows.saw(now, "s1", Fact::Refuses);
+    net.nodes[1].fellows.observe(now, "s1", Fact::Refuses);
     let told = spread(&mut net, &|net, n| net.nodes[n].fellows.evidence().all().any(|(_, s, _)| s == "s1"));
-    net.nodes.iter_mut().for_each(|node| drop(node.fellows.take_news()));
+    net.nodes.iter_mut().for_each(|node| drop(node.fellows.take_events()));
     net.nodes[2].up = false;
-    let death = spread(&mut net, &|net, n| net.stands(n, 2) == Some(Standing::Down));
+    let death = spread(&mut net, &|net, n| net.stands(n, 2) == Some(PeerStatus::Down));
     let wrong = net.nodes.iter_mut().map(|node| {
-        let news = node.fellows.take_news().into_iter();
-        news.filter(|news| matches!(news, News::Down(fellow) if fellow.name != "n2")).count()
+        let news = node.fellows.take_events().into_iter();
+        news.filter(|news| matches!(news, MembershipEvent::Down(fellow) if fellow.name != "n2")).count()
     });
     let wrong: usize = wrong.sum();
     format!(
--- a/crates/gateway/src/council/member.rs
+++ b/crates/gateway/src/council/member.rs
@@ -18,7 +18,7 @@
     ConsensusConfig as Sitting, ConsensusError, ConsensusMember, MemberEvent, ProposalError, store,
 };
 use tansyjunction_duties::*;
-use tansyjunction_fellows::seal::{Keys, Seals};
+use tansyjunction_fellows::seal::{DatagramSealer, Keys};
 use tansyjunction_settings::Council as Set;
 use tracing::{debug, error, info, warn};
 
@@ -85,7 +85,7 @@
     pub(super) council: ConsensusMember<SharedState>,
     pub(super) holder: LeaseHolder,
     pub(super) grantor: Option<LeaseGrantor>,
-    seals: Seals,
+    seals: DatagramSealer,
     key_file: PathBuf,
     socket: UdpSocket,
     /// Addresses of the configured members, and of others as last seen.
@@ -212,7 +212,7 @@
         let now = boottime();
         let grantor = council.as_ref().map(|_| LeaseGrantor::new(terms.clone()));
         let council = council.unwrap_or_else(|| ConsensusMember::follower(now, &me, sitting, seed));
-        let seals = Seals::new(keys, &me, life, now, MAX_DATAGRAM_AGE);
+        let seals = DatagramSealer::new(keys, &me, life, now, MAX_DATAGRAM_AGE);
         let routes = set.addresses.iter().cloned().collect();
         info!(target: "council", what = "begins", mono = monotonic(), life, seat = grantor.is_some(), "consensus started as {me}");
         Ok(ConsensusThread {
@@ -445,9 +445,7 @@
                     work.proposed = false;
                 }
             }
-            ProposalPurpose::Request(waiting) => {
-                waiting.decided(self.register(), Err(ProposalError::Timeout))
-            }
+            ProposalPurpose::Request(waiting) => waiting.decided(self.register(), Err(ProposalError::InTime)),
             ProposalPurpose::Opening(duty) => drop(self.opened.remove(&duty)),
             _ => {}
         }
@@ -572,7 +570,7 @@
         match order {
             ThreadCommand::Answer(asked) => self.asked(asked),
             ThreadCommand::Rekey => match read_keys(&self.key_file) {
-                Ok(keys) => self.seals.rekey(keys),
+                Ok(keys) => self.seals.set_keys(keys),
                 Err(message) => error!(target: "council", "the key file was not reloaded: {message}"),
             },
         }
--- a/crates/gateway/src/council/words.rs
+++ b/crates/gateway/src/council/words.rs
@@ -36,7 +36,7 @@
                 Err(RequestError::Overtaken { name: self.name, version, by: by.into() })
             }
             Ok((_, other)) => Err(RequestError::Otherwise(format!("{other:?}"))),
-            Err(ProposalError::Timeout) => Err(RequestError::Undecided),
+            Err(ProposalError::InTime) => Err(RequestError::Undecided),
             Err(ProposalError::TooLarge) => Err(RequestError::TooLong),
         };
         reply(&self.stream, answer);
--- a/crates/gateway/src/gateway/company.rs
+++ b/crates/gateway/src/gateway/company.rs
@@ -11,11 +11,11 @@
 use calloop::{Interest, Mode, PostAction};
 use serde_json::{Value as Json, json};
 use tansyjunction::interface::*;
-use tansyjunction_fellows::evidence::{Fact, Kind};
-use tansyjunction_fellows::members::{Figures, Members, News, Standing};
+use tansyjunction_fellows::evidence::{Fact, FactKind};
+use tansyjunction_fellows::membership::{MembershipEvent, PeerStatus, SwimConfig, SwimMembership};
 use tansyjunction_fellows::opinion;
 use tansyjunction_fellows::seal::Keys;
-use tansyjunction_fellows::{Fellow, Fellows, Terms};
+use tansyjunction_fellows::{GatewayIdentity, GossipConfig, GossipNode};
 use tansyjunction_settings::Company as Told;
 use tracing::{error, info, warn};
 
@@ -32,7 +32,7 @@
 
 /// The other gateways.
 pub struct Membership {
-    fellows: Fellows,
+    fellows: GossipNode,
     socket: Rc<UdpSocket>,
     key_file: PathBuf,
     advise: bool,
@@ -44,21 +44,21 @@
 
 impl Membership {
     pub fn next(&self) -> Micros {
-        self.fellows.next().min(self.advise_due)
+        self.fellows.next_due().min(self.advise_due)
     }
 
     /// A gateway's last observation of whether a server is reachable, and its age.
     pub(super) fn last_observation(&self, now: Micros, by: &str, server: &str) -> Option<(Fact, Micros)> {
-        let kept = self.fellows.evidence().get(by, server, Kind::Reach)?;
-        Some((kept.fact, now.saturating_sub(kept.at)))
+        let kept = self.fellows.evidence().get(by, server, FactKind::Reach)?;
+        Some((kept.fact, now.saturating_sub(kept.observed_at)))
     }
 
     /// Whether a gateway reports most of its servers as unreachable.
     pub(super) fn accuses_most(&self, gateway: &str) -> bool {
-        opinion::doubtful(self.fellows.evidence()).contains(gateway)
+        opinion::unreliable_observers(self.fellows.evidence()).contains(gateway)
     }
 
-    pub fn members(&self) -> &Members {
+    pub fn members(&self) -> &SwimMembership {
         self.fellows.members()
     }
 }
@@ -96,7 +96,7 @@
             peers = numbered.map(|(number, address)| (number.to_string(), *address)).collect();
             routes.extend(peers.iter().cloned());
         }
-        let me = Fellow {
+        let me = GatewayIdentity {
             name,
             address,
             zone: zone.unwrap_or(self.deployment.zones.len()) as u8,
@@ -104,25 +104,25 @@
             life: now / 1_000,
             tag: std::process::id() as u16,
         };
-        let members = Figures {
-            period: told.probe_every,
-            suspect_for: told.suspect_for,
-            far: told.far as u32,
-            gossip: told.gossip_every,
+        let members = SwimConfig {
+            probe_interval: told.probe_every,
+            suspicion_time: told.suspect_for,
+            remote_region_factor: told.far as u32,
+            gossip_interval: told.gossip_every,
             routes,
-            ..Figures::default()
+            ..SwimConfig::default()
         };
-        let terms = Terms {
+        let terms = GossipConfig {
             members,
-            most: told.datagram,
+            max_datagram: told.datagram,
             keep_for: told.keep_for,
-            old_after: told.old_after,
-            tell_every: told.gossip_every,
-            tell_all: told.tell_all,
-            ..Terms::default()
+            max_transit_time: told.old_after,
+            evidence_interval: told.gossip_every,
+            send_all: told.tell_all,
+            ..GossipConfig::default()
         };
         let seed = self.deployment.seed ^ now;
-        let fellows = Fellows::new(now, me, peers, keys, terms, seed);
+        let fellows = GossipNode::new(now, me, peers, keys, terms, seed);
         info!(target: "fellows", %address, zone = self.deployment.zone, "joined the membership as {}", self.deployment.name);
         self.membership = Some(Membership {
             fellows,
@@ -142,7 +142,7 @@
         let mut bytes = [0; MAX_DATAGRAM_BYTES];
         for _ in 0..DATAGRAMS_PER_TURN {
             match company.socket.recv_from(&mut bytes) {
-                Ok((length, _)) => company.fellows.heard(now, &bytes[..length]),
+                Ok((length, _)) => company.fellows.receive(now, &bytes[..length]),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
                 // An earlier datagram was refused: its receiver is gone, which the failure detector notices.
                 Err(_) => {}
@@ -155,8 +155,8 @@
     pub(super) fn run_membership(&mut self) {
         let now = self.clock.now();
         let Some(company) = self.membership.as_mut().filter(|company| company.next() <= now) else { return };
-        if company.fellows.next() <= now {
-            company.fellows.settle(now);
+        if company.fellows.next_due() <= now {
+            company.fellows.run_due(now);
         }
         self.send_membership();
         self.share_observations(now);
@@ -164,39 +164,40 @@
 
     fn send_membership(&mut self) {
         let Some(company) = &mut self.membership else { return };
-        for (to, bytes) in company.fellows.take_out() {
+        for (to, bytes) in company.fellows.take_datagrams() {
             // Datagrams that the socket does not accept are lost.
             let _ = company.socket.send_to(&bytes, to);
         }
         let score = company.fellows.members().health();
         let mono = monotonic();
-        for news in company.fellows.take_news() {
-            let where_is = |fellow: &Fellow| (fellow.name.clone(), fellow.zone, fellow.region, fellow.life);
+        for news in company.fellows.take_events() {
+            let where_is =
+                |fellow: &GatewayIdentity| (fellow.name.clone(), fellow.zone, fellow.region, fellow.life);
             match news {
-                News::Up(fellow) => {
+                MembershipEvent::Up(fellow) => {
                     let (fellow, zone, region, life) = where_is(&fellow);
                     info!(target: "fellows", what = "up", mono, fellow, zone, region, life, "a gateway is up");
                 }
-                News::Down(fellow) => {
-                    let left = company.fellows.left(&fellow.name);
+                MembershipEvent::Down(fellow) => {
+                    let left = company.fellows.has_left(&fellow.name);
                     let (fellow, zone, region, life) = where_is(&fellow);
                     let dark = format!("{:?}", company.fellows.dark_zones());
                     let what = if left { "left" } else { "down" };
                     warn!(target: "fellows", what, mono, fellow, zone, region, life, dark, score, "a gateway is down or has left");
                 }
-                News::Renewed(life) => {
+                MembershipEvent::Renewed(life) => {
                     info!(target: "fellows", what = "renewed", mono, life, "rejoined with a new incarnation number");
                 }
-                News::Paused(time) => {
+                MembershipEvent::Paused(time) => {
                     warn!(target: "fellows", what = "paused", mono, ms = time / 1_000, score, "this process was paused");
                 }
-                News::Deaf => {
+                MembershipEvent::Deaf => {
                     warn!(target: "fellows", what = "deaf", mono, score, "no other gateway is reachable")
                 }
-                News::Hears => {
+                MembershipEvent::Hears => {
                     info!(target: "fellows", what = "hears", mono, score, "other gateways are reachable again")
                 }
-                News::Yields(address) => {
+                MembershipEvent::Yields(address) => {
                     error!(target: "fellows", what = "yields", mono, %address, "another gateway uses the same name");
                 }
             }
@@ -215,7 +216,7 @@
         for server in company.groups.keys() {
             if let Some(waits) = self.router.waits_at_cold(now, *server) {
                 let waits = u16::try_from(waits / 1_000).unwrap_or(u16::MAX);
-                company.fellows.saw(now, self.servers_named.name(*server), Fact::Waits(waits));
+                company.fellows.observe(now, self.servers_named.name(*server), Fact::Waits(waits));
             }
         }
         let own = company.fellows.members().me().name.clone();
@@ -225,10 +226,10 @@
             groups.entry(*group).or_default().push(self.servers_named.name(*server));
         }
         for members in groups.values() {
-            let leader = opinion::leader(company.fellows.evidence(), &own, members);
+            let leader = opinion::agreed_primary(company.fellows.evidence(), &own, members);
             for member in members {
                 let opinion = opinions.get(*member);
-                let bad = opinion.and_then(|opinion| opinion.bad());
+                let bad = opinion.and_then(|opinion| opinion.bad_since());
                 let waiting = opinion.and_then(|opinion| opinion.waits).map_or(0.0, |ms| f64::from(ms) * 1e3);
                 let leads = leader.filter(|(name, _)| name == member).map(|(_, at)| at);
                 let Some(server) = self.servers_named.find(member) else { continue };
@@ -259,8 +260,10 @@
         for fact in [reach, role, said.position.map(Fact::At)].into_iter().flatten() {
             match fact {
                 // The others rely on its age.
-                Fact::Refuses | Fact::Hangs if scouts => company.fellows.confirmed(now, name, fact),
-                _ => company.fellows.saw(now, name, fact),
+                Fact::Refuses | Fact::Hangs if scouts => {
+                    company.fellows.observe_as_reference(now, name, fact)
+                }
+                _ => company.fellows.observe(now, name, fact),
             }
         }
     }
@@ -296,7 +299,7 @@
                 company.groups.insert(entry.server, entry.group);
             }
             if entry.state != tansyjunction::interface::ServerState::Serving {
-                company.fellows.saw(now, self.servers_named.name(entry.server), Fact::Drains);
+                company.fellows.observe(now, self.servers_named.name(entry.server), Fact::Drains);
             }
         }
     }
@@ -313,7 +316,7 @@
     pub(super) fn reload_membership_keys(&mut self) {
         let Some(company) = &mut self.membership else { return };
         match read_keys(&company.key_file) {
-            Ok(keys) => company.fellows.rekey(keys),
+            Ok(keys) => company.fellows.set_keys(keys),
             Err(message) => error!(target: "fellows", "the key file was not reloaded: {message}"),
         }
     }
@@ -327,10 +330,10 @@
         let region = |region: u8| company.regions.get(usize::from(region)).cloned().unwrap_or_default();
         let members = fellows.members().all().map(|seen| {
             let standing = match seen.standing {
-                Standing::Alive => "alive",
-                Standing::Suspect => "suspect",
-                Standing::Down if fellows.left(&seen.fellow.name) => "left",
-                Standing::Down => "down",
+                PeerStatus::Alive => "alive",
+                PeerStatus::Suspect => "suspect",
+                PeerStatus::Down if fellows.has_left(&seen.fellow.name) => "left",
+                PeerStatus::Down => "down",
             };
             json!({
                 "name": seen.fellow.name, "address": seen.fellow.address.to_string(),
@@ -341,7 +344,7 @@
         let evidence = fellows.evidence().all().map(|(source, subject, kept)| {
             json!({
                 "source": source, "zone": zone(kept.zone), "subject": subject,
-                "fact": format!("{:?}", kept.fact), "age_ms": age(kept.at),
+                "fact": format!("{:?}", kept.fact), "age_ms": age(kept.observed_at),
             })
         });
         let counts = fellows.counts();
--- a/crates/gateway/src/gateway/council.rs
+++ b/crates/gateway/src/gateway/council.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value as Json, json};
 use tansyjunction::interface::*;
 use tansyjunction_duties::{Plan, ShardReport, Step};
-use tansyjunction_fellows::members::Standing as Seen;
+use tansyjunction_fellows::membership::PeerStatus as Seen;
 use tansyjunction_handover::Phase;
 use tansyjunction_settings::Program;
 use tracing::info;
--- a/crates/span/src/lib.rs
+++ b/crates/span/src/lib.rs
@@ -1,15 +1,15 @@
-//! Between two sites: the decisions of a link between gateways, without I/O, clock or threads.
+//! Link between gateways of two sites: state machines without I/O, clock or threads.
 //!
-//! [`Link`] numbers and keeps what one side sends until the other has acknowledged it, and resumes after a break.
-//! [`Memory`] is the far side's: which commands it has taken, and how they ended, bounded and never wrong.
-//! [`Near`] is the near side's: commands that it owes an answer, whatever the link does.
+//! [`Link`] numbers frames and keeps them until the other side has acknowledged them, and resumes after a disconnect.
+//! [`CommandHistory`] is the remote side's bounded record of received commands and their outcomes.
+//! [`LocalCommands`] is the local side's record of commands that it owes an answer, whatever happens to the link.
 //!
-//! The three make a command run at most once over the link. Sockets, frames and routes are not built on them yet.
+//! Together they execute a command at most once over the link. Sockets and routing are not built on them yet.
 
+mod command_history;
 mod link;
-mod memory;
-mod near;
+mod local_commands;
 
-pub use link::{Broken, Hello, Link, Resumed, Taken};
-pub use memory::{Known, Memory};
-pub use near::{Answer, Near, Outcome, Sent};
+pub use command_history::{CommandHistory, CommandState};
+pub use link::{Hello, Link, ProtocolError, Received, Resumed};
+pub use local_commands::{Answer, LocalCommands, Outcome, Sent};
--- a/crates/span/src/link.rs
+++ b/crates/span/src/link.rs
@@ -1,51 +1,51 @@
-//! One logical link, over as many connections as it takes: numbers, acknowledgements, resumption.
+//! A logical link over successive connections: frame numbers, acknowledgements, resumption.
 
 use std::collections::VecDeque;
 
-/// What a side says when a connection is up.
+/// First message of each side on a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Hello {
-    /// A number that its process drew at its start: another one has nothing of what the last one knew.
+    /// Drawn at the start of the process; another process has none of the earlier state.
     pub incarnation: u64,
-    /// The other side's incarnation as it knows it, and the last of its numbers that it took in turn.
+    /// The other side's incarnation as known here, and the last frame number received in sequence.
     pub peer: Option<u64>,
     pub received: u64,
 }
 
-/// What the other side's hello means.
+/// Result of the other side's hello.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Resumed<T> {
-    /// The link goes on: what [`Link::again`] gives is sent again.
+    /// The link continues; the frames of [`Link::unacknowledged`] are sent again.
     Same,
-    /// The other side begins anew, or takes this one for new: nobody knows what became of these.
+    /// The other side has restarted, or considers this side restarted: the fate of these frames is unknown.
     New { in_doubt: Vec<T> },
 }
 
-/// What became of a frame that came in.
+/// Result of a received frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Taken<T> {
+pub enum Received<T> {
     New(T),
-    /// It was taken before; its acknowledgement was lost.
+    /// A repetition; its acknowledgement was lost.
     Again,
 }
 
-/// What no honest peer does; the connection is closed.
+/// Protocol violation by the peer; the connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
-    /// A number was left out.
+pub enum ProtocolError {
+    /// A frame number is missing.
     Gap,
-    /// An acknowledgement of what was never sent, or of less than before.
+    /// An acknowledgement of a frame that was not sent, or lower than before.
     Ack,
-    /// More is unacknowledged than the link may keep: the sender must wait.
+    /// Too many unacknowledged frames: the sender must wait.
     Full,
 }
 
-/// One side of a link. `T` is what it carries.
+/// One side of a link that carries `T`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Link<T> {
     incarnation: u64,
     peer: Option<u64>,
-    /// Sent and not acknowledged, by number.
+    /// Sent frames without acknowledgement, by number.
     sent: VecDeque<(u64, T)>,
     next: u64,
     acked: u64,
@@ -54,7 +54,7 @@
 }
 
 impl<T: Clone> Link<T> {
-    /// `most`: how many frames may be unacknowledged.
+    /// `most`: limit of unacknowledged frames.
     pub fn new(incarnation: u64, most: usize) -> Self {
         Link { incarnation, peer: None, sent: VecDeque::new(), next: 1, acked: 0, received: 0, most }
     }
@@ -63,24 +63,24 @@
         Hello { incarnation: self.incarnation, peer: self.peer, received: self.received }
     }
 
-    /// A connection is up and the other side has said its hello.
-    pub fn resume(&mut self, hello: Hello) -> Result<Resumed<T>, Broken> {
+    /// Handles the other side's hello on a new connection.
+    pub fn resume(&mut self, hello: Hello) -> Result<Resumed<T>, ProtocolError> {
         let same = self.peer == Some(hello.incarnation) && hello.peer == Some(self.incarnation);
         if same {
-            self.acked(hello.received)?;
+            self.acknowledge(hello.received)?;
             return Ok(Resumed::Same);
         }
-        // Guards against a late hello of before that resets a link which both sides have agreed on: only one that comes
-        // on a new connection reaches this, and both sides then begin at one.
+        // Only a hello on a new connection gets here, never a late one of an earlier connection; both sides then start
+        // over at number one.
         let in_doubt = self.sent.drain(..).map(|(_, body)| body).collect();
         (self.peer, self.next, self.acked, self.received) = (Some(hello.incarnation), 1, 0, 0);
         Ok(Resumed::New { in_doubt })
     }
 
-    /// Numbers what is to be sent, and keeps it until it is acknowledged.
-    pub fn send(&mut self, body: T) -> Result<u64, Broken> {
+    /// Numbers a frame and keeps it until it is acknowledged.
+    pub fn send(&mut self, body: T) -> Result<u64, ProtocolError> {
         if self.sent.len() >= self.most {
-            return Err(Broken::Full);
+            return Err(ProtocolError::Full);
         }
         let number = self.next;
         self.next += 1;
@@ -88,36 +88,36 @@
         Ok(number)
     }
 
-    /// What is to be sent again after a break, in its order and under its old numbers. `renew` makes it anew first:
-    /// time has passed since, and a command that may have run must not be sent as one that did not.
-    pub fn again(&mut self, mut renew: impl FnMut(&T) -> T) -> Vec<(u64, T)> {
+    /// Frames to send again after a disconnect, in order and under their numbers. `renew` updates each one first:
+    /// time has passed, and a command that may have executed must be marked as such.
+    pub fn unacknowledged(&mut self, mut renew: impl FnMut(&T) -> T) -> Vec<(u64, T)> {
         for (_, body) in &mut self.sent {
             *body = renew(body);
         }
         self.sent.iter().cloned().collect()
     }
 
-    /// A frame came in.
-    pub fn take(&mut self, number: u64, body: T) -> Result<Taken<T>, Broken> {
+    /// Handles a received frame.
+    pub fn receive(&mut self, number: u64, body: T) -> Result<Received<T>, ProtocolError> {
         if number <= self.received {
-            return Ok(Taken::Again);
+            return Ok(Received::Again);
         }
         if number != self.received + 1 {
-            return Err(Broken::Gap);
+            return Err(ProtocolError::Gap);
         }
         self.received = number;
-        Ok(Taken::New(body))
+        Ok(Received::New(body))
     }
 
-    /// The last number taken in turn, to be told to the other side.
+    /// Last frame number received in sequence, to be acknowledged.
     pub fn received(&self) -> u64 {
         self.received
     }
 
-    /// The other side has taken all up to this number.
-    pub fn acked(&mut self, number: u64) -> Result<(), Broken> {
+    /// Handles an acknowledgement of all frames up to this number.
+    pub fn acknowledge(&mut self, number: u64) -> Result<(), ProtocolError> {
         if number >= self.next || number < self.acked {
-            return Err(Broken::Ack);
+            return Err(ProtocolError::Ack);
         }
         self.acked = number;
         while self.sent.front().is_some_and(|(sent, _)| *sent <= number) {
@@ -126,8 +126,8 @@
         Ok(())
     }
 
-    /// How many frames are unacknowledged.
-    pub fn open(&self) -> usize {
+    /// Number of unacknowledged frames.
+    pub fn unacknowledged_count(&self) -> usize {
         self.sent.len()
     }
 }
--- a/crates/span/src/near.rs
+++ b/crates/span/src/local_commands.rs
@@ -1,19 +1,19 @@
-//! Commands that the near side sent over the link and owes an answer.
+//! Commands that the local side sent over the link and must answer.
 
 use std::collections::BTreeMap;
 
 use tansyjunction::interface::Micros;
 
-/// How a far command ended, as the far side tells it.
+/// Outcome of a command as reported by the remote side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Outcome {
     Answered,
-    /// It surely did not run.
+    /// It certainly did not execute.
     NeverRan,
     Failed,
 }
 
-/// The one answer that the near side gives.
+/// Final answer of the local side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Answer {
     Answered,
@@ -21,56 +21,56 @@
     Failed,
 }
 
-/// What is to go over the link.
+/// A command to send over the link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Sent {
     pub number: u64,
-    /// Time left for its answer, in microseconds: a duration, since clocks differ.
+    /// Time left for the answer in µs: a duration, since clocks differ.
     pub left: Micros,
-    /// For so long it may still be dispatched if it may have run before; None: never again.
+    /// Time for which it may be dispatched even if it has executed before; `None`: never.
     pub repeat_left: Option<Micros>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Owed {
+struct PendingCommand {
     deadline: Micros,
-    /// Until when it may be repeated, counted from its first dispatch anywhere; None: never.
+    /// End of its deduplication window, counted from the first dispatch anywhere; `None` if it may not be repeated.
     window: Option<Micros>,
-    /// It has left: it may have run.
+    /// It was sent, so it may have executed.
     left: bool,
-    /// It may have run where nobody remembers it: the far side began anew since.
+    /// It may have executed at a remote side that has since restarted.
     doubt: bool,
 }
 
-/// The near side's commands by their numbers, which only rise.
+/// Local commands by increasing number.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Near {
+pub struct LocalCommands {
     next: u64,
-    owed: BTreeMap<u64, Owed>,
-    /// Commands at once, beyond which a new one is turned away.
+    owed: BTreeMap<u64, PendingCommand>,
+    /// Most commands at once; further ones are throttled.
     most: usize,
 }
 
-impl Near {
+impl LocalCommands {
     pub fn new(most: usize) -> Self {
-        Near { next: 1, owed: BTreeMap::new(), most }
+        LocalCommands { next: 1, owed: BTreeMap::new(), most }
     }
 
-    /// Takes a command for the far side; None: there is no room, it is throttled here at once.
-    pub fn take(&mut self, deadline: Micros, window: Option<Micros>) -> Option<u64> {
+    /// Adds a command for the remote side; `None` if the limit is reached.
+    pub fn add(&mut self, deadline: Micros, window: Option<Micros>) -> Option<u64> {
         if self.owed.len() >= self.most {
             return None;
         }
         let number = self.next;
         self.next += 1;
-        self.owed.insert(number, Owed { deadline, window, left: false, doubt: false });
+        self.owed.insert(number, PendingCommand { deadline, window, left: false, doubt: false });
         Some(number)
     }
 
-    /// What to send of a command now; None: it is over, or its time is. Once it was written it counts as having left.
+    /// What to send for a command now; `None` if it is finished or out of time. Once written, it counts as sent.
     pub fn send(&mut self, now: Micros, number: u64) -> Option<Sent> {
         let owed = self.owed.get_mut(&number)?;
-        // What has left before goes again only while its key holds.
+        // A command that was sent is sent again only within its deduplication window.
         let open = owed.window.is_some_and(|window| now < window);
         if now >= owed.deadline || owed.left && !open {
             return None;
@@ -80,20 +80,20 @@
         Some(Sent { number, left: owed.deadline - now, repeat_left })
     }
 
-    /// The far side has told how a command ended; None: it is not owed any more, and the news comes too late.
-    pub fn told(&mut self, number: u64, outcome: Outcome) -> Option<Answer> {
+    /// Handles a reported outcome; `None` if the command no longer awaits one.
+    pub fn on_outcome(&mut self, number: u64, outcome: Outcome) -> Option<Answer> {
         let owed = self.owed.remove(&number)?;
         Some(match outcome {
             Outcome::Answered => Answer::Answered,
-            // Guards against a far side that knows only what it did itself since it began.
+            // A restarted remote side knows only what it did since its start.
             Outcome::NeverRan if owed.doubt => Answer::Failed,
             Outcome::NeverRan => Answer::Throttled,
             Outcome::Failed => Answer::Failed,
         })
     }
 
-    /// The far side began anew, and nobody knows what became of these: a keyed one goes again while its window is
-    /// open, all others that have left are answered failed.
+    /// Handles a restart of the remote side: keyed commands within their window are sent again, all others that were
+    /// sent fail.
     pub fn in_doubt(&mut self, now: Micros, numbers: &[u64]) -> (Vec<u64>, Vec<(u64, Answer)>) {
         let (mut again, mut over) = (Vec::new(), Vec::new());
         for number in numbers {
@@ -109,21 +109,21 @@
         (again, over)
     }
 
-    /// All that have left and are owed, the oldest first.
-    pub fn out(&self) -> Vec<u64> {
+    /// Numbers of all commands that were sent and await an answer, oldest first.
+    pub fn sent_numbers(&self) -> Vec<u64> {
         self.owed.iter().filter(|(_, owed)| owed.left).map(|(number, _)| *number).collect()
     }
 
-    /// Commands whose time is over, with their answers: throttled where nothing has left.
-    pub fn due(&mut self, now: Micros) -> Vec<(u64, Answer)> {
+    /// Answers commands that are out of time: throttled if never sent.
+    pub fn expire(&mut self, now: Micros) -> Vec<(u64, Answer)> {
         let over: Vec<u64> =
             self.owed.iter().filter(|(_, owed)| owed.deadline <= now).map(|(number, _)| *number).collect();
-        let answer = |owed: Owed| if owed.left { Answer::Failed } else { Answer::Throttled };
+        let answer = |owed: PendingCommand| if owed.left { Answer::Failed } else { Answer::Throttled };
         over.into_iter().filter_map(|number| Some((number, answer(self.owed.remove(&number)?)))).collect()
     }
 
-    /// The oldest number that is still owed; all below are settled.
-    pub fn settled(&self) -> u64 {
+    /// The oldest number awaiting an answer; all lower ones are finished.
+    pub fn oldest_pending(&self) -> u64 {
         self.owed.first_key_value().map_or(self.next - 1, |(number, _)| number - 1)
     }
 }
--- a/crates/span/tests/model.rs
+++ b/crates/span/tests/model.rs
@@ -1,17 +1,21 @@
-//! A model check of the link's numbers, resumption and memory: cuts, lost frames, a far side that restarts with nothing
-//! remembered. At most once, one answer, bounded memory. And tables for what peers may do wrong.
+//! Model check of frame numbers, resumption and command history: disconnects, lost frames, and a remote side that
+//! restarts without state. At most one execution, one answer, bounded memory. Also tables of peers' protocol
+//! violations.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use stateright::{Checker, Model, Property};
 use tansyjunction::interface::Micros;
-use tansyjunction_span::{Answer, Broken, Hello, Known, Link, Memory, Near, Outcome, Resumed, Sent, Taken};
+use tansyjunction_span::{
+    Answer, CommandHistory, CommandState, Hello, Link, LocalCommands, Outcome, ProtocolError, Received,
+    Resumed, Sent,
+};
 
 const TICK: Micros = 250_000;
 const DEADLINE: Micros = 4 * TICK;
 const WINDOW: Micros = 3 * TICK;
 const TICKS: u8 = 5;
-/// Keys are remembered for the window and the longest way of a frame.
+/// Keys are remembered for the window plus the longest transit time.
 const REMEMBERED: Micros = WINDOW + TICK;
 const REMEMBERS: usize = 1;
 const NEAR: u64 = 7;
@@ -19,11 +23,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mistake {
     None,
-    /// The near side takes the window for longer than servers remember keys.
+    /// The local side's deduplication window is longer than that of the servers.
     LongWindow,
-    /// What was in flight at a far side that restarted is sent again, keyed or not.
+    /// Commands in flight at a restarted remote side are sent again even without a key.
     ForgetsDoubt,
-    /// What ran at a far side that restarted is throttled, since the next one says that it never ran there.
+    /// Commands that executed at a restarted remote side are throttled, since the next one reports that they did not.
     DropsDoubt,
 }
 
@@ -39,11 +43,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     ticks: u8,
-    near: Near,
+    near: LocalCommands,
     link: Link<Body>,
     far: Link<Body>,
-    memory: Memory,
-    /// Far commands at work, with the time by which they must have begun.
+    memory: CommandHistory,
+    /// Running remote commands, with the latest time of their start.
     at_work: BTreeMap<u64, Micros>,
     up: bool,
     out: Frames,
@@ -56,7 +60,7 @@
 
 struct Checked {
     mistake: Mistake,
-    /// Keyed, or mutating.
+    /// Whether it is keyed, or else mutating.
     keyed: Vec<bool>,
     cuts: u8,
     restarts: u8,
@@ -70,7 +74,7 @@
     Restart,
     Out,
     Back,
-    /// A command at work ends.
+    /// Ends a running command.
     Ends(u64),
 }
 
@@ -83,7 +87,7 @@
         state.answers.entry(number).or_default().push(answer);
     }
 
-    /// Sends over the link what is given, if the connection is up; unacknowledged frames wait for the next one.
+    /// Sends frames if the connection is up; unacknowledged ones wait for the next connection.
     fn out(state: &mut State, body: Body) {
         if let Ok(number) = state.link.send(body)
             && state.up
@@ -116,20 +120,20 @@
         match state.link.resume(far).ok()? {
             Resumed::Same => {
                 let owed = &mut state.near;
-                let renewed = state.link.again(|body| match body {
-                    // Never again as a command, unless its key still holds; else it is asked after.
+                let renewed = state.link.unacknowledged(|body| match body {
+                    // Not sent again as a command unless its key is still valid; otherwise its outcome is requested.
                     Body::Do(sent) => owed.send(now, sent.number).map_or(Body::Ask(sent.number), Body::Do),
                     other => *other,
                 });
                 let received = state.link.received();
                 state.out.extend(renewed.into_iter().map(|(number, body)| (number, body, received)));
-                // What the other side had taken and not told is asked after.
-                for number in state.near.out() {
+                // The outcomes of received commands without a report are requested.
+                for number in state.near.sent_numbers() {
                     Self::out(state, Body::Ask(number));
                 }
             }
             Resumed::New { .. } => {
-                let numbers = state.near.out();
+                let numbers = state.near.sent_numbers();
                 let (mut again, over) = state.near.in_doubt(now, &numbers);
                 for (number, answer) in over {
                     match self.mistake == Mistake::ForgetsDoubt {
@@ -150,7 +154,7 @@
         match state.far.resume(near).ok()? {
             Resumed::Same => {
                 let received = state.far.received();
-                let again = state.far.again(|body| *body);
+                let again = state.far.unacknowledged(|body| *body);
                 state.back.extend(again.into_iter().map(|(number, body)| (number, body, received)));
             }
             Resumed::New { .. } => {}
@@ -162,8 +166,8 @@
         let now = Self::now(state);
         let known = match body {
             Body::Do(sent) => {
-                let known = state.memory.take(NEAR, sent.number);
-                if known == Known::Fresh {
+                let known = state.memory.receive(NEAR, sent.number);
+                if known == CommandState::Fresh {
                     state
                         .at_work
                         .insert(sent.number, now + sent.repeat_left.unwrap_or(sent.left).min(sent.left));
@@ -171,12 +175,12 @@
                 }
                 (sent.number, known)
             }
-            Body::Ask(number) => (number, state.memory.asked(NEAR, number)),
+            Body::Ask(number) => (number, state.memory.look_up(NEAR, number)),
             Body::Told(..) => return,
         };
         match known {
-            (number, Known::Done(outcome)) => Self::back(state, Body::Told(number, outcome)),
-            (number, Known::Forgotten) => Self::back(state, Body::Told(number, Outcome::Failed)),
+            (number, CommandState::Done(outcome)) => Self::back(state, Body::Told(number, outcome)),
+            (number, CommandState::Forgotten) => Self::back(state, Body::Told(number, Outcome::Failed)),
             _ => {}
         }
     }
@@ -194,7 +198,7 @@
             Outcome::Answered
         };
         state.at_work.remove(&number);
-        state.memory.done(NEAR, number, outcome);
+        state.memory.finish(NEAR, number, outcome);
         Self::back(state, Body::Told(number, outcome));
     }
 }
@@ -206,10 +210,10 @@
     fn init_states(&self) -> Vec<State> {
         let mut state = State {
             ticks: 0,
-            near: Near::new(8),
+            near: LocalCommands::new(8),
             link: Link::new(NEAR, 16),
             far: Link::new(100, 16),
-            memory: Memory::new(REMEMBERS, 2),
+            memory: CommandHistory::new(REMEMBERS, 2),
             at_work: BTreeMap::new(),
             up: false,
             out: Frames::new(),
@@ -223,7 +227,7 @@
         for keyed in &self.keyed {
             let window = if self.mistake == Mistake::LongWindow { 3 * WINDOW } else { WINDOW };
             let deadline = if self.mistake == Mistake::LongWindow { 3 * DEADLINE } else { DEADLINE };
-            let number = state.near.take(deadline, keyed.then_some(window)).expect("there is room");
+            let number = state.near.add(deadline, keyed.then_some(window)).expect("there is room");
             Self::send(&mut state, number);
         }
         vec![state]
@@ -256,12 +260,12 @@
         match action {
             Action::Tick => {
                 state.ticks += 1;
-                // A frame arrives within a tick, or silence has the connection given up.
+                // A frame arrives within a tick, or the connection is given up.
                 if !state.out.is_empty() || !state.back.is_empty() {
                     (state.up, state.out, state.back) = (false, Frames::new(), Frames::new());
                 }
                 let now = Self::now(&state);
-                for (number, answer) in state.near.due(now) {
+                for (number, answer) in state.near.expire(now) {
                     Self::answer(&mut state, number, answer);
                 }
             }
@@ -274,8 +278,8 @@
             Action::Restart => {
                 state.restarts -= 1;
                 (state.up, state.out, state.back) = (false, Frames::new(), Frames::new());
-                (state.far, state.memory) = (Link::new(101, 16), Memory::new(REMEMBERS, 2));
-                // What was at work may end at its server all the same, and nobody hears of it.
+                (state.far, state.memory) = (Link::new(101, 16), CommandHistory::new(REMEMBERS, 2));
+                // A running command may still end at its server, without a report.
                 let keyed = |number: &u64| self.keyed[*number as usize - 1];
                 let now = Self::now(&state);
                 for number in state.at_work.keys().copied().collect::<Vec<_>>() {
@@ -288,17 +292,17 @@
             }
             Action::Out => {
                 let (number, body, acked) = state.out.pop_front()?;
-                state.far.acked(acked).ok()?;
-                match state.far.take(number, body).ok()? {
-                    Taken::New(body) => self.far_takes(&mut state, body),
-                    Taken::Again => {}
+                state.far.acknowledge(acked).ok()?;
+                match state.far.receive(number, body).ok()? {
+                    Received::New(body) => self.far_takes(&mut state, body),
+                    Received::Again => {}
                 }
             }
             Action::Back => {
                 let (number, body, acked) = state.back.pop_front()?;
-                state.link.acked(acked).ok()?;
-                if let Taken::New(Body::Told(number, outcome)) = state.link.take(number, body).ok()?
-                    && let Some(answer) = state.near.told(number, outcome)
+                state.link.acknowledge(acked).ok()?;
+                if let Received::New(Body::Told(number, outcome)) = state.link.receive(number, body).ok()?
+                    && let Some(answer) = state.near.on_outcome(number, outcome)
                 {
                     let drops = self.mistake == Mistake::DropsDoubt && outcome == Outcome::NeverRan;
                     Self::answer(&mut state, number, if drops { Answer::Throttled } else { answer });
@@ -332,7 +336,8 @@
                 answered.into_iter().all(|(number, _)| state.effects.contains_key(number))
             }),
             Property::always("memory is bounded", |_, state: &State| {
-                state.memory.len() <= REMEMBERS + state.at_work.len() && state.link.open() <= 16
+                state.memory.len() <= REMEMBERS + state.at_work.len()
+                    && state.link.unacknowledged_count() <= 16
             }),
         ]
     }
@@ -377,12 +382,12 @@
         link.resume(Hello { incarnation: 2, peer: None, received: 0 }),
         Ok(Resumed::New { in_doubt: vec![] })
     );
-    assert_eq!((link.send(1), link.send(2), link.send(3)), (Ok(1), Ok(2), Err(Broken::Full)));
-    assert_eq!(link.acked(3), Err(Broken::Ack));
-    assert_eq!((link.acked(2), link.acked(1)), (Ok(()), Err(Broken::Ack)));
-    assert_eq!(link.take(2, 0), Err(Broken::Gap));
-    assert_eq!((link.take(1, 9), link.take(1, 9)), (Ok(Taken::New(9)), Ok(Taken::Again)));
-    // A hello that acknowledges what was never sent.
-    assert_eq!(link.resume(Hello { incarnation: 2, peer: Some(1), received: 9 }), Err(Broken::Ack));
+    assert_eq!((link.send(1), link.send(2), link.send(3)), (Ok(1), Ok(2), Err(ProtocolError::Full)));
+    assert_eq!(link.acknowledge(3), Err(ProtocolError::Ack));
+    assert_eq!((link.acknowledge(2), link.acknowledge(1)), (Ok(()), Err(ProtocolError::Ack)));
+    assert_eq!(link.receive(2, 0), Err(ProtocolError::Gap));
+    assert_eq!((link.receive(1, 9), link.receive(1, 9)), (Ok(Received::New(9)), Ok(Received::Again)));
+    // A hello that acknowledges frames that were never sent.
+    assert_eq!(link.resume(Hello { incarnation: 2, peer: Some(1), received: 9 }), Err(ProtocolError::Ack));
     assert_eq!(link.resume(Hello { incarnation: 2, peer: Some(1), received: 2 }), Ok(Resumed::Same));
 }
