--- a/crates/accord/src/rules.rs
+++ b/crates/accord/src/rules.rs
@@ -40,8 +40,8 @@
     pub meanwhile: String,
 }
 
-/// Defines a struct whose fields each have a type and a rule; implements [`Tighten`] and the list of differences over all
-/// of them.
+/// Defines a struct whose fields each have a type and a rule; implements [`Tighten`] and the list of differences over
+/// all of them.
 macro_rules! terms {
     ($(#[$doc:meta])* $name:ident { $($(#[$field_doc:meta])* $field:ident: $kind:ty => $rule:ident,)* }) => {
         $(#[$doc])*
--- a/crates/accord/src/tighten.rs
+++ b/crates/accord/src/tighten.rs
@@ -1,6 +1,6 @@
 //! Values that can be tightened: a meet semilattice. Each type defines what applies while two values may be in force.
-//! If the result is one of the two, the other one is looser; if neither, they contradict each other. The names of the types
-//! appear in the output of `tansyjunction accord diff`.
+//! If the result is one of the two, the other one is looser; if neither, they contradict each other. The names of the
+//! types appear in the output of `tansyjunction accord diff`.
 
 /// How a value changes from one version to the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/cli/src/accord.rs
+++ b/crates/cli/src/accord.rs
@@ -1,4 +1,4 @@
-//! `tansyjunction accord`: two versions of what gateways act on, held against each other.
+//! `tansyjunction accord`: compares two versions of the configuration.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -17,13 +17,13 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Say field by field how a configuration differs from another: what binds wherever it is heard, and what may
-    /// bind only once all gateways have agreed. Exit 0: nothing needs agreement; 1: something does; 2: a file can't
-    /// be read.
+    /// Show field by field how a configuration differs from another one: what applies at once, and what applies only
+    /// after all gateways have agreed. Exit code 0: no agreement needed; 1: agreement needed; 2: a file cannot be
+    /// read.
     Diff {
         old: PathBuf,
         new: PathBuf,
-        /// As JSON.
+        /// Print JSON.
         #[arg(long)]
         json: bool,
     },
@@ -36,7 +36,7 @@
     ConfigVersion::read(&json).map_err(said)
 }
 
-fn word(class: Class) -> &'static str {
+fn class_name(class: Class) -> &'static str {
     match class {
         Class::Same => "free",
         Class::Tighter => "tighter",
@@ -55,24 +55,24 @@
         }
     };
     let waits = |one: &Difference| matches!(one.class, Class::Looser | Class::Contrary);
-    let text = if *json { in_json(&found) } else { in_words(&found) };
+    let text = if *json { to_json(&found) } else { to_text(&found) };
     match print(&text) {
         Ok(()) if !found.iter().any(waits) => ExitCode::SUCCESS,
         _ => ExitCode::FAILURE,
     }
 }
 
-fn in_json(found: &[Difference]) -> String {
+fn to_json(found: &[Difference]) -> String {
     let each = found.iter().map(|one| {
         json!({
-            "field": one.field, "class": word(one.class), "rule": format!("{:?}", one.rule).to_lowercase(),
+            "field": one.field, "class": class_name(one.class), "rule": format!("{:?}", one.rule).to_lowercase(),
             "old": one.old, "new": one.new, "meanwhile": one.meanwhile,
         })
     });
     format!("{}\n", Json::Array(each.collect()))
 }
 
-fn in_words(found: &[Difference]) -> String {
+fn to_text(found: &[Difference]) -> String {
     let mut out = String::new();
     for (title, classes) in [
         ("binds wherever it is heard", &[Class::Tighter][..]),
@@ -85,7 +85,7 @@
         }
         out += &format!("{title}:\n");
         for one in these {
-            let (class, rule) = (word(one.class), format!("{:?}", one.rule).to_lowercase());
+            let (class, rule) = (class_name(one.class), format!("{:?}", one.rule).to_lowercase());
             out += &format!("  {:<9}{:<8}{}: {} -> {}\n", class, rule, one.field, one.old, one.new);
             if matches!(one.class, Class::Contrary) {
                 out += &format!("                   until then {}\n", one.meanwhile);
--- a/crates/cli/src/account.rs
+++ b/crates/cli/src/account.rs
@@ -1,6 +1,5 @@
-//! `tansyjunction account`: from the logs of all gateways, with each step of each command, what became of the
-//! commands and why those that were not answered in time were not. Single commands can be followed through every
-//! gateway by their id.
+//! `tansyjunction account`: reports from gateways' logs what happened to the commands, and why some were not answered
+//! in time. Single commands can be followed through all gateways by their id.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -14,24 +13,24 @@
 
 #[derive(Args)]
 pub struct Line {
-    /// Logs of gateways, or folders of them, written with `format = json`, `level.commands = debug`, `lines_a_second
-    /// = 0`.
+    /// Log files of gateways, or folders of them, written with `format = json`, `level.commands = debug`,
+    /// `lines_a_second = 0`.
     #[arg(required = true)]
     logs: Vec<PathBuf>,
-    /// Show every step of this command, by the id that its client gave it.
+    /// Show every step of the command with this id.
     #[arg(long)]
     id: Option<String>,
-    /// Seconds that one row of the course over time covers.
+    /// Seconds per row of the timeline.
     #[arg(long, default_value_t = 5)]
     row: u64,
-    /// The most frequent states in which commands were given up.
+    /// Number of most frequent member states for abandoned commands.
     #[arg(long, default_value_t = 12)]
     most: usize,
 }
 
-/// One dispatch of a command: when, where to, and how it ended.
+/// A dispatch of a command: time, target and end.
 #[derive(Default)]
-struct Sent {
+struct LoggedDispatch {
     at: u64,
     server: String,
     primary: bool,
@@ -39,19 +38,19 @@
     ended: Option<(u64, String)>,
 }
 
-/// A command as one gateway saw it. Times are microseconds of that gateway's clock.
+/// A command as logged by one gateway. Times are microseconds of that gateway's clock.
 #[derive(Default)]
-struct Course {
+struct LoggedCommand {
     id: String,
     group: String,
     at: u64,
     target: u64,
-    sent: Vec<Sent>,
+    sent: Vec<LoggedDispatch>,
     over: Option<(u64, String, String)>,
 }
 
-/// What is said of a course: the part of the account that it belongs to, empty where it was answered in time.
-fn cause(course: &Course) -> String {
+/// The cause under which a command is reported; empty if it was answered in time.
+fn cause(course: &LoggedCommand) -> String {
     let Some((over, what, lacks)) = &course.over else { return "cut off: its gateway ended".into() };
     let late = over.saturating_sub(course.at) > course.target;
     let endings: Vec<&str> = course.sent.iter().filter_map(|s| Some(s.ended.as_ref()?.1.as_str())).collect();
@@ -62,17 +61,17 @@
             "its client left: a server had it".into()
         }
         "left" => "its client left: it was held".into(),
-        // Guards against taking what ran out its client's time at a server for what was held until a member had room.
+        // A command that used up its client's time at a server was not held for lack of capacity.
         "throttled" if endings.contains(&"TimedOut") => {
             "throttled: a server had it until its time was over".into()
         }
-        // Only what needs the primary finds a member to lack the role.
-        "throttled" => given_up(lacks, lacks.contains("Role")),
+        // Only commands for the primary find members that lack the role.
+        "throttled" => throttling_cause(lacks, lacks.contains("Role")),
         _ => format!("failed after {}", endings.last().unwrap_or(&"nothing")),
     }
 }
 
-fn late_cause(course: &Course, endings: &[&str]) -> String {
+fn late_cause(course: &LoggedCommand, endings: &[&str]) -> String {
     let Some(last) = course.sent.last() else { return "late".into() };
     let tried = endings.iter().rev().nth(1).filter(|_| course.sent.len() > 1);
     match tried {
@@ -85,9 +84,9 @@
     }
 }
 
-/// Why a command was throttled, from what each member lacked: for one that needs the primary, what that lacked; for any
-/// other, what the nearest to being of use lacked.
-fn given_up(lacks: &str, needs_primary: bool) -> String {
+/// Why a command was throttled, by what each member lacked: the primary for commands that need it, else the member
+/// closest to qualifying.
+fn throttling_cause(lacks: &str, needs_primary: bool) -> String {
     let words: Vec<&str> = lacks.split(' ').collect();
     if needs_primary {
         let primary = words.iter().find_map(|word| word.strip_prefix("primary:"));
@@ -112,10 +111,14 @@
     format!("throttled: {nearest}")
 }
 
-/// Reads the steps of a log into courses, one after the other; a line that is none of ours is passed over.
-fn read(path: &Path, mut take: impl FnMut(Course), mut opened: impl FnMut(bool)) -> Result<(), String> {
+/// Reads the steps of a log and combines them by command; other lines are skipped.
+fn read(
+    path: &Path,
+    mut take: impl FnMut(LoggedCommand),
+    mut opened: impl FnMut(bool),
+) -> Result<(), String> {
     let file = std::fs::File::open(path).map_err(|error| format!("{}: {error}", path.display()))?;
-    let mut open: BTreeMap<u64, Course> = BTreeMap::new();
+    let mut open: BTreeMap<u64, LoggedCommand> = BTreeMap::new();
     for line in BufReader::new(file).lines().map_while(Result::ok) {
         let Some(start) = line.find('{') else { continue };
         let Ok(json) = serde_json::from_str::<Json>(&line[start..]) else { continue };
@@ -127,8 +130,14 @@
         let text = |key: &str| json[key].as_str().unwrap_or_default().to_string();
         if step == "taken" {
             let target = json["target_us"].as_u64().unwrap_or(0);
-            let new = Course { id: text("id"), group: text("group"), at, target, ..Course::default() };
-            // A number that comes anew is of a gateway that was started again.
+            let new = LoggedCommand {
+                id: text("id"),
+                group: text("group"),
+                at,
+                target,
+                ..LoggedCommand::default()
+            };
+            // A number that is reused belongs to a restarted gateway.
             if let Some(cut) = open.insert(command, new) {
                 take(cut);
             }
@@ -139,7 +148,7 @@
             "sent" => {
                 let flag = |key: &str| json[key].as_bool().unwrap_or(false);
                 let (primary, cold) = (flag("primary"), flag("cold"));
-                course.sent.push(Sent { at, server: text("server"), primary, cold, ended: None });
+                course.sent.push(LoggedDispatch { at, server: text("server"), primary, cold, ended: None });
             }
             "ended" => {
                 let place = json["dispatch"].as_u64().unwrap_or(0) as usize;
@@ -161,7 +170,7 @@
     Ok(())
 }
 
-/// The files at a path: itself, or those of a folder.
+/// The file at a path, or the files of a folder.
 fn files(path: &Path) -> Result<Vec<PathBuf>, String> {
     if !path.is_dir() {
         return Ok(vec![path.to_path_buf()]);
@@ -173,25 +182,25 @@
     Ok(found)
 }
 
-/// Counts of one command group, and of each cause in it.
+/// Counts of a command group and of each cause in it.
 #[derive(Default)]
-struct Sum {
+struct GroupCounts {
     all: u64,
     in_time: u64,
     causes: BTreeMap<String, u64>,
 }
 
-/// The whole account.
+/// The complete report.
 #[derive(Default)]
-struct Account {
-    groups: BTreeMap<String, Sum>,
-    /// By row of time: all, in time, throttled.
+struct Report {
+    groups: BTreeMap<String, GroupCounts>,
+    /// Per row of the timeline: all, in time, throttled.
     rows: BTreeMap<u64, [u64; 3]>,
     states: BTreeMap<String, u64>,
 }
 
-impl Account {
-    fn take(&mut self, course: &Course, row: u64) {
+impl Report {
+    fn take(&mut self, course: &LoggedCommand, row: u64) {
         let why = cause(course);
         let sum = self.groups.entry(course.group.clone()).or_default();
         sum.all += 1;
@@ -239,7 +248,7 @@
     }
 }
 
-fn steps(path: &Path, course: &Course) -> String {
+fn steps(path: &Path, course: &LoggedCommand) -> String {
     let since = |at: u64| at.saturating_sub(course.at) as f64 / 1e3;
     let mut out = format!("{}: {} {} at {}\n", path.display(), course.id, course.group, course.at);
     for sent in &course.sent {
@@ -258,9 +267,9 @@
 }
 
 pub fn run(line: &Line) -> Result<(), String> {
-    let (mut account, mut found, mut opened) = (Account::default(), String::new(), [0; 2]);
+    let (mut account, mut found, mut opened) = (Report::default(), String::new(), [0; 2]);
     for path in line.logs.iter().map(|path| files(path)).collect::<Result<Vec<_>, _>>()?.concat() {
-        let take = |course: Course| {
+        let take = |course: LoggedCommand| {
             if line.id.as_ref().is_some_and(|id| *id == course.id) {
                 found += &steps(&path, &course);
             }
--- a/crates/cli/src/council.rs
+++ b/crates/cli/src/council.rs
@@ -1,5 +1,4 @@
-//! `tansyjunction council`: what gateways agree on, who holds which duty, and planned changes of primary that one of
-//! them conducts.
+//! `tansyjunction council`: agreed documents, holders of duties, and planned changes of primary.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -11,8 +10,8 @@
 use crate::handover::ask;
 use crate::line::{Source, print};
 
-/// Between two looks of a live view.
-const EVERY: Duration = Duration::from_millis(500);
+/// Refresh interval of the live view.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Args)]
 pub struct Line {
@@ -22,68 +21,68 @@
 
 #[derive(Args)]
 struct Socket {
-    /// The control socket of any gateway, as its settings name it.
+    /// Control socket of any gateway, as in its settings.
     #[arg(long)]
     socket: PathBuf,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Make the store of the first seat, once, before any gateway starts. The other seats begin with an empty folder
-    /// and are seated by those that are there.
+    /// Create the store of the first voting gateway, once, before any gateway starts. The others start with an empty
+    /// folder and are added by the running ones.
     Found {
         #[command(flatten)]
         source: Source,
-        /// Found anew, with what this gateway's store holds: for a council that has lost most of its stores for good.
-        /// What only the lost ones held is lost.
+        /// Create a new cluster from this gateway's store, after most stores were lost for good. Data held only by the
+        /// lost ones is lost.
         #[arg(long)]
         again: bool,
     },
-    /// Tell who sits, who attends, who holds which duty, and how changes of primary go.
+    /// Show voting members, attending gateways, holders of duties, and changes of primary.
     Status {
         #[command(flatten)]
         at: Socket,
-        /// Go on until interrupted.
+        /// Refresh until interrupted.
         #[arg(long)]
         watch: bool,
-        /// A line of JSON.
+        /// Print a line of JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Write an agreed document to standard output.
+    /// Print an agreed document.
     Show {
         #[command(flatten)]
         at: Socket,
         name: String,
     },
-    /// Have all agree on a document: a file's text under a name.
+    /// Propose a document: the text of a file under a name.
     Propose {
         #[command(flatten)]
         at: Socket,
         name: String,
         file: PathBuf,
-        /// The version that it replaces; left out: the one that the gateway knows.
+        /// Version that it replaces; default: the one known to the gateway.
         #[arg(long)]
         expected: Option<u64>,
     },
-    /// Take a document away.
+    /// Remove a document.
     Withdraw {
         #[command(flatten)]
         at: Socket,
         name: String,
     },
-    /// Announce a change of primary, once, at any gateway: one of them conducts it.
+    /// Plan a change of primary, once, at any gateway; one of them conducts it.
     Plan {
         #[command(flatten)]
         at: Socket,
         shard: String,
         #[arg(long)]
         to: String,
-        /// For what; stands in the document.
+        /// Reason, stored in the document.
         #[arg(long)]
         why: Option<String>,
     },
-    /// Call a change off, in whatever step it is.
+    /// Abort a change of primary in any step.
     Abort {
         #[command(flatten)]
         at: Socket,
@@ -136,16 +135,16 @@
     loop {
         let answer = ask(&at.socket, &json!({"do": "council", "what": "status"}))?;
         let out = if as_json { format!("{answer}\n") } else { view(&answer) };
-        // The screen is cleared before each look of a live view.
+        // The live view clears the screen first.
         print(&if watch && !as_json { format!("\x1b[2J\x1b[H{out}") } else { out })?;
         if !watch {
             return Ok(());
         }
-        std::thread::sleep(EVERY);
+        std::thread::sleep(REFRESH_INTERVAL);
     }
 }
 
-/// How the council stands, as text.
+/// Status as text.
 fn view(answer: &Json) -> String {
     let text = |value: &Json| value.as_str().unwrap_or("-").to_string();
     let rows = |key: &str| answer[key].as_array().cloned().unwrap_or_default();
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -1,5 +1,4 @@
-//! `tansyjunction demo`: a store, two gateways and clients on loopback in one go, with changes of primary as they
-//! happen.
+//! `tansyjunction demo`: runs a store, two gateways and clients on loopback, and shows changes of primary.
 
 use std::io::IsTerminal;
 use std::net::{SocketAddr, TcpListener};
@@ -20,29 +19,29 @@
 const SHARDS: usize = 3;
 const MEMBERS: usize = 3;
 const GATEWAYS: usize = 2;
-/// Between two looks.
-const EVERY: Duration = Duration::from_millis(500);
-/// Planned changes, and kills, begin so long after the one before.
-const CHANGE_EVERY: Duration = Duration::from_secs(3);
-/// A planned change is made in the store in this time; an unplanned one is noticed and decided in this.
-const SWITCH: Duration = Duration::from_millis(300);
-const ELECTION: Duration = Duration::from_millis(700);
-const STARTS_WITHIN: Duration = Duration::from_secs(10);
+/// Refresh interval.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
+/// Time between changes or kills.
+const CHANGE_INTERVAL: Duration = Duration::from_secs(3);
+/// Duration of a planned change in the store, and of detection and election after a kill.
+const SWITCH_TIME: Duration = Duration::from_millis(300);
+const ELECTION_TIME: Duration = Duration::from_millis(700);
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 
 #[derive(Args)]
 pub struct Line {
-    /// How long it goes on.
+    /// Duration.
     #[arg(long, default_value = "20s", value_parser = |text: &str| duration(text).map(Duration::from_micros))]
     time: Duration,
-    /// Clients at each gateway.
+    /// Clients per gateway.
     #[arg(long, default_value = "20", value_parser = |text: &str| whole(text))]
     clients: u64,
-    /// For chance.
+    /// Random seed.
     #[arg(long, default_value = "1", value_parser = |text: &str| whole(text))]
     seed: u64,
 }
 
-/// A gateway process and the socket that takes its operators' words.
+/// A gateway process and its control socket.
 struct Gateway {
     address: SocketAddr,
     control: PathBuf,
@@ -74,20 +73,20 @@
     std::thread::scope(|scope| {
         scope.spawn(|| {
             let mut round = 0;
-            while pause(CHANGE_EVERY, &|| over() || began.elapsed() + CHANGE_EVERY >= line.time) {
+            while pause(CHANGE_INTERVAL, &|| over() || began.elapsed() + CHANGE_INTERVAL >= line.time) {
                 change(round, &store, &discovery, &gateways, &happened);
                 round += 1;
             }
         });
         let terminal = std::io::stdout().is_terminal();
         while began.elapsed() < line.time && !over() {
-            let text = look(began.elapsed(), &load, &gateways, &happened, terminal);
+            let text = show_state(began.elapsed(), &load, &gateways, &happened, terminal);
             if print(&text).is_err() {
                 break;
             }
-            pause(EVERY, &over);
+            pause(REFRESH_INTERVAL, &over);
         }
-        // Ends the other thread too, at its next look.
+        // Ends the other thread as well, at its next check.
         stop.store(true, Ordering::SeqCst);
     });
     let asked = load.stop();
@@ -106,7 +105,7 @@
     ))
 }
 
-/// Waits, in short steps; false: it was told to stop.
+/// Sleeps in short steps; false if stopped.
 fn pause(time: Duration, over: &dyn Fn() -> bool) -> bool {
     let began = Instant::now();
     while began.elapsed() < time {
@@ -118,7 +117,7 @@
     !over()
 }
 
-/// One change: two planned ones, then one by a kill, shard by shard.
+/// Makes the next change: two planned ones, then a kill, shard by shard.
 fn change(
     round: usize,
     store: &Store,
@@ -137,10 +136,10 @@
     if round % 3 == 2 {
         tell(format!("shard {shard}: {from} is killed, having committed what it had; nobody leads"));
         store.kill(old, Death::AfterCommit);
-        std::thread::sleep(ELECTION);
+        std::thread::sleep(ELECTION_TIME);
         store.crown(shard, new);
         tell(format!("shard {shard}: {to} was elected; {from} comes back as a replica"));
-        std::thread::sleep(ELECTION);
+        std::thread::sleep(ELECTION_TIME);
         store.back(old, false);
     } else {
         tell(format!("shard {shard}: a change from {from} to {to} is announced; writes are held"));
@@ -153,17 +152,17 @@
             shards.iter().any(|one| one["shard"].as_str() == Some(&name) && one["phase"] == "electing")
         };
         let began = Instant::now();
-        while planned == gateways.len() && !gateways.iter().all(holds) && began.elapsed() < ELECTION {
+        while planned == gateways.len() && !gateways.iter().all(holds) && began.elapsed() < ELECTION_TIME {
             std::thread::sleep(Duration::from_millis(5));
         }
-        store.switch(shard, new, SWITCH);
+        store.switch(shard, new, SWITCH_TIME);
         tell(format!("shard {shard}: {to} leads; what was held goes out"));
     }
     discovery.leads(new, MEMBERS);
 }
 
-/// What there is to see now.
-fn look(
+/// Shows the current state.
+fn show_state(
     since: Duration,
     load: &Load,
     gateways: &[Gateway],
@@ -173,9 +172,10 @@
     let asked = load.asked();
     let answered = asked.iter().filter(|one| matches!(one.reply, Reply::Value(_))).count();
     let others = asked.len() - answered;
-    let late: Vec<_> = asked.iter().filter(|one| one.began + one.took + EVERY * 2 > since).collect();
+    let late: Vec<_> =
+        asked.iter().filter(|one| one.began + one.took + REFRESH_INTERVAL * 2 > since).collect();
     let longest = late.iter().map(|one| one.took).max().unwrap_or_default();
-    let rate = late.len() as f64 / (EVERY * 2).as_secs_f64();
+    let rate = late.len() as f64 / (REFRESH_INTERVAL * 2).as_secs_f64();
     let happened = happened.lock().map_or(String::new(), |happened| happened.clone());
     let mut out = format!(
         "{:5.1} s  {rate:4.0} payments a second, longest of late {longest:.0?}; {answered} answered, {others} not  |  \
@@ -202,7 +202,7 @@
     out
 }
 
-/// Starts a gateway of this very program and waits until it serves.
+/// Starts a gateway with this executable and waits until it serves.
 fn start(number: usize, discovery: SocketAddr, folder: &Path) -> Result<Gateway, String> {
     let said = |error: std::io::Error| error.to_string();
     let address =
@@ -236,7 +236,7 @@
         .arg("--settings")
         .arg(&settings)
         .stderr(Stdio::from(log));
-    // A gateway of its own process group outlives a Ctrl-C until its clients have their answers.
+    // In its own process group, a gateway survives Ctrl-C until its clients have their answers.
     std::os::unix::process::CommandExt::process_group(&mut command, 0);
     let gateway = Gateway { address, control, child: command.spawn().map_err(said)? };
     let began = Instant::now();
@@ -245,7 +245,7 @@
         client.is_ok_and(|mut client| client.ask("") == Reply::Empty)
     };
     while !serves() {
-        if began.elapsed() > STARTS_WITHIN {
+        if began.elapsed() > START_TIMEOUT {
             let log = std::fs::read_to_string(place("log")).unwrap_or_default();
             return Err(format!("gateway n{number} does not serve: {}", log.trim()));
         }
--- a/crates/cli/src/expect.rs
+++ b/crates/cli/src/expect.rs
@@ -1,4 +1,4 @@
-//! `tansyjunction expect`: expectations checked, written, compared, explained and run again.
+//! `tansyjunction expect`: checks, suggests, compares, explains and replays expectations.
 
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -11,13 +11,13 @@
 use tansyjunction_expect::report::{html, json, junit, narrate, text};
 use tansyjunction_expect::{Input, Report, Subject, Verdict, check, router};
 use tansyjunction_expect::{compare, explain, saved, suggest};
-use tansyjunction_settings::{Expecting, duration};
+use tansyjunction_settings::{ExpectSettings, duration};
 
 use crate::line::{Source, print};
 
-/// Exit codes: all hold, one fails, input that can't be used.
-const FAILS: u8 = 1;
-const UNUSABLE: u8 = 2;
+/// Exit codes: an expectation fails; the input is invalid.
+const EXIT_FAILED: u8 = 1;
+const EXIT_INVALID_INPUT: u8 = 2;
 
 #[derive(Args)]
 #[command(args_conflicts_with_subcommands = true)]
@@ -30,23 +30,23 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Write expectations from what the router does now.
+    /// Write expectations that describe the current behaviour of the router.
     Suggest {
         #[command(flatten)]
         searched: Searched,
-        /// Write them there and not to standard output.
+        /// Write to this file instead of standard output.
         #[arg(long)]
         output: Option<PathBuf>,
     },
-    /// Tell what two configurations, or two lists of servers, route differently.
+    /// Show which commands two configurations, or two server lists, route differently.
     Diff {
         old: PathBuf,
         new: PathBuf,
-        /// Stop after so long.
+        /// Time limit.
         #[arg(long, default_value = "1m")]
         time_limit: String,
     },
-    /// Run a saved run again.
+    /// Replay a saved run.
     Replay { file: PathBuf },
 }
 
@@ -54,7 +54,7 @@
 struct Searched {
     #[command(flatten)]
     source: Source,
-    /// Stop searching after so long, such as 10s.
+    /// Time limit of the search, such as 10s.
     #[arg(long)]
     time_limit: Option<String>,
 }
@@ -63,20 +63,20 @@
 struct Check {
     #[command(flatten)]
     searched: Searched,
-    /// Files of expectations and worlds, as INI.
+    /// INI files with expectations and scenarios.
     files: Vec<PathBuf>,
     #[arg(long, value_enum, default_value = "text")]
     format: Form,
-    /// Write the report there and not to standard output.
+    /// Write the report to this file instead of standard output.
     #[arg(long)]
     output: Option<PathBuf>,
-    /// Save the run that breaks an expectation in this folder, one file each.
+    /// Save each run that violates an expectation to a file in this folder.
     #[arg(long)]
     save: Option<PathBuf>,
-    /// Runs of one expectation at most.
+    /// Most runs per expectation.
     #[arg(long)]
     runs: Option<u64>,
-    /// Tell what would happen to one command and why: its command group, shard and, if it is not calm, the state.
+    /// Explain what would happen to a command: its command group, shard and, if not calm, the state.
     #[arg(long, value_name = "COMMAND-GROUP SHARD [STATE]")]
     explain: Option<String>,
 }
@@ -98,10 +98,10 @@
     };
     match done {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(FAILS),
+        Ok(false) => ExitCode::from(EXIT_FAILED),
         Err(message) => {
             eprintln!("tansyjunction: {message}");
-            ExitCode::from(UNUSABLE)
+            ExitCode::from(EXIT_INVALID_INPUT)
         }
     }
 }
@@ -113,8 +113,8 @@
         path.ok_or_else(|| "no configuration: neither --config nor BALANCER_CONFIG is given".into())
     }
 
-    /// The bounds of the settings, changed by the command line.
-    fn bounds(&self, mut bounds: Expecting) -> Result<Expecting, String> {
+    /// The limits of the settings, with those of the command line.
+    fn bounds(&self, mut bounds: ExpectSettings) -> Result<ExpectSettings, String> {
         if let Some(limit) = &self.time_limit {
             bounds.time_limit = duration(limit).map_err(|message| format!("--time-limit: {message}"))?;
         }
@@ -129,12 +129,12 @@
         if over() {
             return Err("the time was over before all was looked at; --time-limit gives more".into());
         }
-        put(output, &written)?;
+        write_output(output, &written)?;
         Ok(true)
     }
 }
 
-/// Tells when the time is over.
+/// Returns whether the time is over.
 fn over_after(micros: u64) -> impl Fn() -> bool {
     let end = Instant::now() + Duration::from_micros(micros);
     move || Instant::now() >= end
@@ -151,7 +151,7 @@
         input.bounds = self.searched.bounds(input.bounds)?;
         input.bounds.runs = self.runs.unwrap_or(input.bounds.runs);
         if let Some(what) = &self.explain {
-            put(
+            write_output(
                 self.output.as_deref(),
                 &explain::explain(&input.subject, &input.suite.worlds, what, &router)?,
             )?;
@@ -168,7 +168,7 @@
         if let Some(folder) = &self.save {
             save(folder, &input, &report)?;
         }
-        put(self.output.as_deref(), &written)?;
+        write_output(self.output.as_deref(), &written)?;
         if report.fails() {
             return Ok(false);
         }
@@ -182,7 +182,7 @@
     }
 }
 
-/// Saves each run that breaks an expectation.
+/// Saves each run that violates an expectation.
 fn save(folder: &Path, input: &Input, report: &Report) -> Result<(), String> {
     std::fs::create_dir_all(folder).map_err(|error| format!("{}: {error}", folder.display()))?;
     for (place, one) in report.checked.iter().enumerate() {
@@ -190,7 +190,7 @@
             let plain = |c: char| if c.is_ascii_alphanumeric() { c } else { '-' };
             let name: String = one.name.chars().map(plain).collect();
             let path = folder.join(format!("{:03}-{name}.json", place + 1));
-            put(Some(&path), &format!("{:#}\n", saved::save(input, place, found)))?;
+            write_output(Some(&path), &format!("{:#}\n", saved::save(input, place, found)))?;
         }
     }
     Ok(())
@@ -226,8 +226,8 @@
     Ok(again.broken.is_none())
 }
 
-/// Writes a whole file or none; without a path, to standard output.
-fn put(path: Option<&Path>, text: &str) -> Result<(), String> {
+/// Writes a file atomically; without a path, to standard output.
+fn write_output(path: Option<&Path>, text: &str) -> Result<(), String> {
     let Some(path) = path else { return print(text) };
     let said = |error: &dyn std::fmt::Display| format!("{}: {error}", path.display());
     let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
--- a/crates/cli/src/fellows.rs
+++ b/crates/cli/src/fellows.rs
@@ -1,4 +1,4 @@
-//! `tansyjunction fellows`: how a gateway sees the others.
+//! `tansyjunction fellows`: shows how a gateway sees the others.
 
 use std::path::PathBuf;
 
@@ -10,13 +10,13 @@
 
 #[derive(Args)]
 pub struct Line {
-    /// The control socket of a gateway, as its settings name it; once for each gateway.
+    /// Control socket of a gateway, as in its settings; may be repeated.
     #[arg(long, required = true)]
     socket: Vec<PathBuf>,
-    /// Show what was seen of the servers too, with its age.
+    /// Show observations of servers too, with their age.
     #[arg(long)]
     evidence: bool,
-    /// A line of JSON for each gateway.
+    /// Print a line of JSON per gateway.
     #[arg(long)]
     json: bool,
 }
@@ -33,7 +33,7 @@
     value.as_str().unwrap_or("-").to_string()
 }
 
-/// How a gateway sees the others, as text.
+/// A gateway's view of the others as text.
 fn view(answer: &Json, evidence: bool) -> String {
     let rows = |key: &str| answer[key].as_array().cloned().unwrap_or_default();
     let names = |value: &Json| {
--- a/crates/cli/src/handover.rs
+++ b/crates/cli/src/handover.rs
@@ -1,4 +1,4 @@
-//! `tansyjunction handover`: an operator's word to a gateway over its control socket.
+//! `tansyjunction handover`: sends operators' requests to a gateway's control socket.
 
 use std::io::{BufRead, BufReader, Write};
 use std::os::unix::net::UnixStream;
@@ -10,13 +10,13 @@
 
 use crate::line::print;
 
-/// Between two looks of a live view, and how long a gateway may take to answer.
-const EVERY: Duration = Duration::from_millis(500);
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Refresh interval of the live view, and timeout of a gateway's answer.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(Args)]
 pub struct Line {
-    /// The control socket of a gateway, as its settings name it; once for each gateway.
+    /// Control socket of a gateway, as in its settings; may be repeated.
     #[arg(long, required = true)]
     socket: Vec<PathBuf>,
     #[command(subcommand)]
@@ -25,26 +25,26 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Announce a change of primary: writes are held once the target has caught up, until it leads.
+    /// Plan a change of primary: writes are held once the target has caught up, until it is the primary.
     Plan {
         shard: String,
         #[arg(long)]
         to: String,
     },
-    /// Tell how each shard stands.
+    /// Show the state of each shard.
     Status {
-        /// Go on until interrupted.
+        /// Refresh until interrupted.
         #[arg(long)]
         watch: bool,
-        /// A line of JSON for each gateway.
+        /// Print a line of JSON per gateway.
         #[arg(long)]
         json: bool,
     },
-    /// Take an announced change back; what was held goes out.
+    /// Abort a planned change; held writes are released.
     Abort { shard: String },
     /// Hold all new writes of a shard.
     Pause { shard: String },
-    /// Let them go again.
+    /// Release the writes of a paused shard.
     Resume { shard: String },
 }
 
@@ -56,16 +56,16 @@
         Command::Resume { shard } => json!({"do": "resume", "shard": shard}),
         Command::Status { watch, json } => return status(&line.socket, *watch, *json),
     };
-    // All gateways are told, even where one refuses: the message names those that did.
+    // All gateways are asked even if one refuses; the message names those that did.
     let refused: Vec<String> = line.socket.iter().filter_map(|path| ask(path, &word).err()).collect();
     if refused.is_empty() { Ok(()) } else { Err(refused.join("; ")) }
 }
 
-/// Says a word to a gateway and gives its answer.
+/// Sends a request to a gateway and returns its answer.
 pub fn ask(path: &Path, word: &Json) -> Result<Json, String> {
     let said = |error: &dyn std::fmt::Display| format!("{}: {error}", path.display());
     let mut stream = UnixStream::connect(path).map_err(|error| said(&error))?;
-    stream.set_read_timeout(Some(PATIENCE)).map_err(|error| said(&error))?;
+    stream.set_read_timeout(Some(ANSWER_TIMEOUT)).map_err(|error| said(&error))?;
     writeln!(stream, "{word}").map_err(|error| said(&error))?;
     let mut answer = String::new();
     BufReader::new(stream).read_line(&mut answer).map_err(|error| said(&error))?;
@@ -83,16 +83,16 @@
             let answer = ask(path, &json!({"do": "status"}))?;
             out += &if as_json { format!("{answer}\n") } else { view(&answer) };
         }
-        // The screen is cleared before each look of a live view.
+        // The live view clears the screen first.
         print(&if watch && !as_json { format!("\x1b[2J\x1b[H{out}") } else { out })?;
         if !watch {
             return Ok(());
         }
-        std::thread::sleep(EVERY);
+        std::thread::sleep(REFRESH_INTERVAL);
     }
 }
 
-/// How a gateway's shards stand, as text.
+/// State of a gateway's shards as text.
 pub fn view(answer: &Json) -> String {
     let text = |value: &Json| value.as_str().unwrap_or("-").to_string();
     let mut out = format!("gateway {}\n", text(&answer["gateway"]));
--- a/crates/cli/src/line.rs
+++ b/crates/cli/src/line.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line.
 
 use std::io::Write;
 use std::path::PathBuf;
@@ -7,7 +7,7 @@
 use clap::{Args, CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
 use tansyjunction_gateway::{Deployment, serve, signals};
-use tansyjunction_settings::Program;
+use tansyjunction_settings::ProgramSettings;
 
 use crate::{accord, account, council, demo, expect, fellows, handover, log, rig};
 
@@ -20,47 +20,47 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve clients until told to stop by SIGTERM; SIGHUP has the configuration read anew.
+    /// Serve clients until SIGTERM; SIGHUP reloads the configuration.
     Serve(Source),
-    /// Read the configuration and the settings as `serve` does, and say what is wrong with them.
+    /// Validate the configuration and the settings as `serve` does, and report errors.
     Check(Source),
-    /// Check what is expected of where commands go, without sending any.
+    /// Check expectations of where commands go, without sending any.
     Expect(Box<expect::Line>),
-    /// Show it at work: a store, two gateways and clients on loopback, with changes of primary.
+    /// Run a demonstration on loopback: a store, two gateways and clients, with changes of primary.
     Demo(demo::Line),
-    /// Hold two versions of what gateways act on against each other.
+    /// Compare two versions of the configuration.
     Accord(accord::Line),
-    /// Say from gateways' logs what became of the commands, and why some were not answered in time.
+    /// Report from gateways' logs what happened to the commands, and why some were not answered in time.
     Account(account::Line),
-    /// Show how gateways see each other, and what they saw of the servers.
+    /// Show how gateways see each other, and what they observed of the servers.
     Fellows(fellows::Line),
-    /// Start many gateways on loopback, put faults between them and judge what they did.
+    /// Test many gateways on loopback with injected faults, and check the rules.
     Rig(rig::Line),
-    /// Announce a change of primary to gateways, take it back, or see how it goes.
+    /// Plan or abort a change of primary at single gateways, or show its state.
     Handover(handover::Line),
-    /// Agree on documents and changes of primary, and see who holds which duty.
+    /// Manage agreed documents and changes of primary, and show holders of duties.
     Council(council::Line),
-    /// Write a shell's completions to standard output.
+    /// Print shell completions.
     Completions { shell: Shell },
-    /// Write the manual page to standard output.
+    /// Print the manual page.
     Man,
-    /// Tell the version.
+    /// Print the version.
     Version,
 }
 
 #[derive(Args)]
 pub struct Source {
-    /// The configuration, as JSON; without it, the file that BALANCER_CONFIG names.
+    /// Configuration file in JSON; default: the file named by BALANCER_CONFIG.
     #[arg(long)]
     pub config: Option<PathBuf>,
-    /// The program's own settings, as INI; without them all have their defaults.
+    /// Settings file in INI; default: all settings have their defaults.
     #[arg(long)]
     pub settings: Option<PathBuf>,
 }
 
 impl Source {
-    pub fn program(&self) -> Result<Program, String> {
-        Program::open(self.settings.as_deref()).map_err(|fault| fault.to_string())
+    pub fn program(&self) -> Result<ProgramSettings, String> {
+        ProgramSettings::open(self.settings.as_deref()).map_err(|fault| fault.to_string())
     }
 }
 
@@ -104,7 +104,7 @@
     }
 }
 
-/// Writes to standard output. Guards against a panic where whoever reads it has gone.
+/// Writes to standard output; an error instead of a panic if the reader is gone.
 pub fn print(text: &str) -> Result<(), String> {
     let mut out = std::io::stdout().lock();
     match out.write_all(text.as_bytes()).and_then(|()| out.flush()) {
--- a/crates/cli/src/log.rs
+++ b/crates/cli/src/log.rs
@@ -1,11 +1,11 @@
-//! The log: lines on standard error as text or JSON, with a level for each part and so many lines a second at most.
+//! Logging to standard error as text or JSON, with a level per target and a rate limit.
 
 use std::fmt;
 use std::sync::Arc;
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-use tansyjunction_settings::{Format, Level, Logging};
+use tansyjunction_settings::{Format, Level, LogSettings};
 use tracing::field::{Field, Visit};
 use tracing::level_filters::LevelFilter;
 use tracing::{Event, Metadata, Subscriber};
@@ -14,9 +14,9 @@
 use tracing_subscriber::layer::{Context, Filter, Layer, SubscriberExt};
 use tracing_subscriber::registry::LookupSpan;
 
-/// Has the process log as the settings say, for as long as it lives.
-pub fn start(settings: &Logging) -> Result<(), String> {
-    let bound = Arc::new(Bound::new(settings.lines_a_second));
+/// Installs the logger for the process.
+pub fn start(settings: &LogSettings) -> Result<(), String> {
+    let bound = Arc::new(RateLimit::new(settings.lines_a_second));
     let layer = tracing_subscriber::fmt::layer().with_writer(std::io::stderr);
     let layer = match settings.format {
         Format::Text => layer.event_format(Line { bound: bound.clone(), inner: Text }).boxed(),
@@ -25,30 +25,30 @@
             layer.json().event_format(Line { bound: bound.clone(), inner: json }).boxed()
         }
     };
-    let filter = Chosen { settings: settings.clone(), bound };
+    let filter = LevelFilterByTarget { settings: settings.clone(), bound };
     let subscriber = tracing_subscriber::registry().with(layer.with_filter(filter));
     tracing::subscriber::set_global_default(subscriber).map_err(|error| format!("log: {error}"))
 }
 
-/// Lines of the current second, and those left out.
-struct Second {
+/// Number of lines in the current second, and of suppressed ones.
+struct LineCount {
     began: Option<Instant>,
     lines: u64,
     left_out: u64,
 }
 
-/// So many lines in any one second; what goes beyond is counted and told with the next line.
-struct Bound {
+/// Rate limit per second; suppressed lines are counted and reported with the next line.
+struct RateLimit {
     most: u64,
-    second: Mutex<Second>,
+    second: Mutex<LineCount>,
 }
 
-impl Bound {
+impl RateLimit {
     fn new(most: u64) -> Self {
-        Bound { most, second: Mutex::new(Second { began: None, lines: 0, left_out: 0 }) }
+        RateLimit { most, second: Mutex::new(LineCount { began: None, lines: 0, left_out: 0 }) }
     }
 
-    /// Whether another line may be written at this moment.
+    /// Whether another line may be written now.
     fn allows(&self, now: Instant) -> bool {
         let Ok(mut second) = self.second.lock() else { return false };
         let anew = second.began.is_none_or(|began| now.duration_since(began) >= Duration::from_secs(1));
@@ -69,13 +69,13 @@
     }
 }
 
-/// Levels by part, then the bound.
-struct Chosen {
-    settings: Logging,
-    bound: Arc<Bound>,
+/// Filter by target level, then by rate.
+struct LevelFilterByTarget {
+    settings: LogSettings,
+    bound: Arc<RateLimit>,
 }
 
-impl Chosen {
+impl LevelFilterByTarget {
     fn level(&self, part: &str) -> LevelFilter {
         match self.settings.levels.get(part).unwrap_or(&self.settings.level) {
             Level::Off => LevelFilter::OFF,
@@ -88,10 +88,10 @@
     }
 }
 
-impl<S: Subscriber> Filter<S> for Chosen {
+impl<S: Subscriber> Filter<S> for LevelFilterByTarget {
     fn enabled(&self, about: &Metadata<'_>, _: &Context<'_, S>) -> bool {
-        // What other crates have to say is of no interest here unless it is an error.
-        let ours = tansyjunction_settings::PARTS.contains(&about.target());
+        // Other crates are only logged at level error.
+        let ours = tansyjunction_settings::LOG_TARGETS.contains(&about.target());
         let level = if ours { self.level(about.target()) } else { LevelFilter::ERROR };
         *about.level() <= level
     }
@@ -101,9 +101,9 @@
     }
 }
 
-/// A line, and after it how many were left out before.
+/// Formats a line, followed by the number of lines suppressed before it.
 struct Line<F> {
-    bound: Arc<Bound>,
+    bound: Arc<RateLimit>,
     inner: F,
 }
 
@@ -146,7 +146,7 @@
     }
 }
 
-/// The program's name, the message, then what else is told.
+/// Program name, message, then the other fields.
 struct Text;
 
 impl Text {
@@ -178,12 +178,12 @@
 
     #[test]
     fn what_goes_beyond_the_bound_is_counted_and_told_once() {
-        let (bound, now) = (Bound::new(2), Instant::now());
+        let (bound, now) = (RateLimit::new(2), Instant::now());
         assert_eq!([0; 5].map(|_: i32| bound.allows(now)), [true, true, false, false, false]);
         let later = now + Duration::from_secs(1);
         assert!(bound.allows(later));
         assert_eq!([bound.take_left_out(), bound.take_left_out()], [3, 0]);
-        let unbounded = Bound::new(0);
+        let unbounded = RateLimit::new(0);
         assert!((0..100).all(|_| unbounded.allows(now)));
     }
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! tansyjunction: steers reads and writes in replicated stores.
+//! tansyjunction: routes reads and writes in replicated stores.
 
 mod accord;
 mod account;
--- a/crates/cli/src/rig.rs
+++ b/crates/cli/src/rig.rs
@@ -1,4 +1,4 @@
-//! `tansyjunction rig`: many processes of this program on loopback, with faults between them.
+//! `tansyjunction rig`: fault injection with many processes of this program on loopback.
 
 use std::path::{Path, PathBuf};
 
@@ -7,8 +7,8 @@
 
 use crate::line::print;
 
-/// Plays that making a failing plan smaller may take.
-const SHRINKS: usize = 40;
+/// Most runs while minimizing a failing plan.
+const MAX_MINIMIZE_RUNS: usize = 40;
 
 #[derive(Args)]
 pub struct Line {
@@ -18,36 +18,36 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Draw plans from seeds and play them, one after the other; a failing one is written down and made smaller.
+    /// Generate plans from seeds and run them one after the other; failing ones are saved and minimized.
     Run {
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many plans, from this seed on.
+        /// Number of plans from this seed on.
         #[arg(long, default_value_t = 1)]
         plans: u64,
         #[arg(long, default_value_t = 9, value_parser = clap::value_parser!(u64).range(2..=100))]
         gateways: u64,
-        /// Faults in each.
+        /// Faults per plan.
         #[arg(long, default_value_t = 4)]
         faults: usize,
-        /// Clients at each gateway.
+        /// Clients per gateway.
         #[arg(long, default_value_t = 1)]
         clients: usize,
-        /// Folder for a page of each run, and for plans that fail.
+        /// Folder for a report of each run, and for failing plans.
         #[arg(long, default_value = ".")]
         out: PathBuf,
-        /// Make a failing plan smaller.
+        /// Minimize a failing plan.
         #[arg(long)]
         shrink: bool,
     },
-    /// Play a plan that was written down.
+    /// Run a saved plan.
     Replay {
         plan: PathBuf,
-        /// Where to write the page.
+        /// Path of the report.
         #[arg(long)]
         page: Option<PathBuf>,
     },
-    /// Show what a seed draws, without playing it.
+    /// Print the plan of a seed without running it.
     Show {
         #[arg(long, default_value_t = 1)]
         seed: u64,
@@ -66,8 +66,8 @@
     serde_json::to_string_pretty(plan).map_err(|error| error.to_string())
 }
 
-/// What came of a run, in a few lines.
-fn told(outcome: &Outcome) -> String {
+/// Summary of a run.
+fn summary(outcome: &Outcome) -> String {
     let Outcome { plan, broken, joined_ms, healed_ms, answered, throttled, failed, cut_off, .. } = outcome;
     let healed = healed_ms.map_or("never".into(), |ms| format!("after {ms} ms"));
     let slowest =
@@ -103,7 +103,7 @@
             if let Some(path) = page {
                 write(path, &page::html(&outcome)?)?;
             }
-            print(&told(&outcome))?;
+            print(&summary(&outcome))?;
             if outcome.broken.is_empty() { Ok(()) } else { Err("a rule is broken".into()) }
         }
         Command::Run { seed, plans, gateways, faults, clients, out, shrink } => {
@@ -112,7 +112,7 @@
                 let drawn = Plan::drawn(seed, *gateways as usize, *faults);
                 let plan = Plan { clients: *clients, ..drawn };
                 let outcome = play(&program, &plan)?;
-                print(&told(&outcome))?;
+                print(&summary(&outcome))?;
                 write(&out.join(format!("run-{seed}.html")), &page::html(&outcome)?)?;
                 if outcome.broken.is_empty() {
                     continue;
@@ -124,7 +124,7 @@
                         |plan: &Plan| play(&program, plan).is_ok_and(|outcome| !outcome.broken.is_empty());
                     write(
                         &out.join(format!("plan-{seed}-small.json")),
-                        &json(&plan.shrunk(SHRINKS, fails))?,
+                        &json(&plan.shrunk(MAX_MINIMIZE_RUNS, fails))?,
                     )?;
                 }
             }
--- a/crates/expect/src/check.rs
+++ b/crates/expect/src/check.rs
@@ -5,7 +5,7 @@
 
 use tansyjunction::Router;
 use tansyjunction::interface::SettingsByName;
-use tansyjunction_settings::{Expecting, Fault, Ini, Program};
+use tansyjunction_settings::{ExpectSettings, Ini, ProgramSettings, SettingsError};
 
 use crate::contradiction;
 use crate::coverage::{self, Gap};
@@ -21,15 +21,15 @@
     pub subject: Arc<Subject>,
     pub suite: Suite,
     pub files: Vec<Ini>,
-    pub bounds: Expecting,
+    pub bounds: ExpectSettings,
     /// Where the program's settings stand; empty: there are none.
     pub settings_file: String,
 }
 
 impl Input {
     pub fn open(config: &Path, files: &[PathBuf], settings: Option<&Path>) -> Result<Input, String> {
-        let said = |fault: Fault| fault.to_string();
-        let program = Program::open(settings).map_err(said)?;
+        let said = |fault: SettingsError| fault.to_string();
+        let program = ProgramSettings::open(settings).map_err(said)?;
         let subject = Subject::open(config)?;
         let files = files.iter().map(|path| Ini::open(path)).collect::<Result<Vec<_>, _>>().map_err(said)?;
         let settings_file = settings.map(|path| path.display().to_string()).unwrap_or_default();
@@ -39,9 +39,9 @@
     pub fn read(
         mut subject: Subject,
         files: Vec<Ini>,
-        bounds: Expecting,
+        bounds: ExpectSettings,
         settings_file: String,
-    ) -> Result<Input, Fault> {
+    ) -> Result<Input, SettingsError> {
         expectation::add_servers(&mut subject, &files)?;
         let suite = Suite::read(&files, &subject, &bounds)?;
         Ok(Input { subject: Arc::new(subject), suite, files, bounds, settings_file })
@@ -52,7 +52,7 @@
 pub enum Verdict {
     Holds,
     /// It fails before any run.
-    Contradicts(Fault),
+    Contradicts(SettingsError),
     /// A run breaks it.
     Broken(Box<Counterexample>),
     /// No run goes where some run must be able to.
@@ -79,7 +79,7 @@
     pub config: String,
     pub checked: Vec<Checked>,
     /// Contradictions of worlds and settings, which no single expectation has.
-    pub faults: Vec<Fault>,
+    pub faults: Vec<SettingsError>,
     pub gaps: Vec<Gap>,
     pub tally: Tally,
 }
--- a/crates/expect/src/contradiction.rs
+++ b/crates/expect/src/contradiction.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use tansyjunction_settings::Fault;
+use tansyjunction_settings::SettingsError;
 
 use crate::expectation::{EFFECTS, Expectation, Limit, Stated, Suite};
 use crate::explore::{from_zone, named_by};
@@ -20,7 +20,7 @@
 pub struct Contradiction {
     /// Its place among the expectations; None: it lies in a world or in the settings.
     pub expectation: Option<usize>,
-    pub fault: Fault,
+    pub fault: SettingsError,
 }
 
 pub fn all(subject: &Arc<Subject>, suite: &Suite) -> Vec<Contradiction> {
@@ -47,7 +47,7 @@
 
 /// What the configuration says of a command group, against what it is expected to say. Guards against a group that
 /// becomes free to repeat, or whose window or bound is raised, and all that is checked by runs still holds.
-fn stated(subject: &Subject, expectation: &Expectation) -> Option<Fault> {
+fn stated(subject: &Subject, expectation: &Expectation) -> Option<SettingsError> {
     let (must, section) = (&expectation.must, &expectation.section);
     expectation.commands.iter().find_map(|k| {
         let group = &subject.command_groups[*k];
@@ -59,25 +59,25 @@
         };
         let word = |effect| EFFECTS.iter().find(|(_, known)| *known == effect).map_or("", |(word, _)| *word);
         if must.effect.is_some_and(|expected| expected != effect) {
-            return Some(section.fault_at("effect", format!("{name} is {}", word(effect))));
+            return Some(section.error_at("effect", format!("{name} is {}", word(effect))));
         }
         if let Some(most) = must.repeat_within {
             let Some(window) = window else {
                 return Some(
-                    section.fault_at("repeat_within", format!("{name} is {}, not keyed", word(effect))),
+                    section.error_at("repeat_within", format!("{name} is {}, not keyed", word(effect))),
                 );
             };
             if window > most {
                 let message = format!("{name} may be repeated for {}", time(window));
-                return Some(section.fault_at("repeat_within", message));
+                return Some(section.error_at("repeat_within", message));
             }
         }
         match (must.bound, group.need) {
             (Some(most), Need::Bounded(bound)) if bound > most => {
-                Some(section.fault_at("bound", format!("{name} permits data {} old", time(bound))))
+                Some(section.error_at("bound", format!("{name} permits data {} old", time(bound))))
             }
             (Some(_), Need::Any) => {
-                Some(section.fault_at("bound", format!("{name} permits data of any age")))
+                Some(section.error_at("bound", format!("{name} permits data of any age")))
             }
             _ => None,
         }
@@ -91,21 +91,21 @@
     scopes.into_iter().filter_map(|(key, scope)| Some((key, scope.as_ref()?)))
 }
 
-fn lag(subject: &Subject, expectation: &Expectation) -> Option<Fault> {
+fn lag(subject: &Subject, expectation: &Expectation) -> Option<SettingsError> {
     let mut scopes = allowing(expectation);
     scopes.find_map(|(key, scope)| {
         let message = lag_beyond_bound(subject, scope.lag_allowed()?, &expectation.commands)?;
-        Some(expectation.section.fault_at(key, message))
+        Some(expectation.section.error_at(key, message))
     })
 }
 
 /// A world that allows a replica more lag than some command group that reads from replicas permits.
-fn world_lag(subject: &Subject, world: &Described) -> Option<Fault> {
+fn world_lag(subject: &Subject, world: &Described) -> Option<SettingsError> {
     let all: Vec<usize> = (0..subject.command_groups.len()).collect();
     world.lag_allowed.iter().find_map(|(server, allowed)| {
         let message = lag_beyond_bound(subject, *allowed, &all)?;
         let key = format!("server.{}", subject.servers[*server].name);
-        Some(world.section.fault_at(&key, message))
+        Some(world.section.error_at(&key, message))
     })
 }
 
@@ -125,7 +125,7 @@
 }
 
 /// An expectation that no run can break or meet.
-fn vacuous(subject: &Arc<Subject>, worlds: &[Described], expectation: &Expectation) -> Option<Fault> {
+fn vacuous(subject: &Arc<Subject>, worlds: &[Described], expectation: &Expectation) -> Option<SettingsError> {
     let section = &expectation.section;
     let mut any = false;
     for zone in &expectation.zones {
@@ -136,13 +136,13 @@
                 any |= !starts.is_empty();
                 if starts.is_empty() && expectation.states.len() == 1 && expectation.shards.len() == 1 {
                     let (state, shard) = (state::name(state, worlds), &subject.shards[*shard]);
-                    return Some(section.fault_at("in", format!("shard {shard} has no world '{state}'")));
+                    return Some(section.error_at("in", format!("shard {shard} has no world '{state}'")));
                 }
             }
         }
     }
     if !any {
-        return Some(section.fault("it never applies: there is no server, or no world of its states"));
+        return Some(section.error("it never applies: there is no server, or no world of its states"));
     }
     let must = &expectation.must;
     for (key, scope) in
@@ -151,7 +151,7 @@
         let Some(scope) = scope else { continue };
         if !may_arise(scope, expectation) && named_by(subject, worlds, expectation, scope).is_empty() {
             let message = format!("it never applies: no server is '{}' in any of its worlds", scope.text);
-            return Some(section.fault_at(key, message));
+            return Some(section.error_at(key, message));
         }
     }
     // An `only` that each server of every world meets says nothing of where commands go.
@@ -160,21 +160,21 @@
         && all_fit(subject, worlds, expectation, scope)
     {
         let message = format!("no world could fail it: every server is '{}' in all of them", scope.text);
-        return Some(section.fault_at("only", message));
+        return Some(section.error_at("only", message));
     }
     let groups = || expectation.commands.iter().map(|k| &subject.command_groups[*k]);
     if must.own_zone_first && groups().all(|group| matches!(group.need, Need::Write | Need::Fresh)) {
         return Some(
-            section.fault_at("own_zone_first", "it never applies: these commands go to the primary"),
+            section.error_at("own_zone_first", "it never applies: these commands go to the primary"),
         );
     }
     if must.once && groups().all(|group| group.effect == Effect::Replayable) {
-        return Some(section.fault_at("once", "it never applies: these commands may be repeated freely"));
+        return Some(section.error_at("once", "it never applies: these commands may be repeated freely"));
     }
     let more = subject.figures.max_dispatches;
     if must.tries.is_some_and(|tries| tries >= more) {
         return Some(
-            section.fault_at("tries", format!("it never applies: no command has more than {more} tries")),
+            section.error_at("tries", format!("it never applies: no command has more than {more} tries")),
         );
     }
     let longest =
@@ -185,11 +185,11 @@
             && time > longest
         {
             let message = "it never applies: clients do not wait that long";
-            return Some(section.fault_at(key, message));
+            return Some(section.error_at(key, message));
         }
     }
     (must.held.is_some_and(|held| held > longest))
-        .then(|| section.fault_at("held", "it never applies: clients do not wait that long"))
+        .then(|| section.error_at("held", "it never applies: clients do not wait that long"))
 }
 
 /// Roles may change in the middle of a run, so that a scope may fit where it did not at the beginning.
@@ -200,7 +200,7 @@
 }
 
 /// An expectation that contradicts itself.
-fn itself(subject: &Arc<Subject>, worlds: &[Described], expectation: &Expectation) -> Option<Fault> {
+fn itself(subject: &Arc<Subject>, worlds: &[Described], expectation: &Expectation) -> Option<SettingsError> {
     both(subject, worlds, expectation, expectation)
 }
 
@@ -210,7 +210,7 @@
     worlds: &[Described],
     one: &Expectation,
     other: &Expectation,
-) -> Option<Fault> {
+) -> Option<SettingsError> {
     let common = |a: &[usize], b: &[usize]| a.iter().copied().filter(|x| b.contains(x)).collect::<Vec<_>>();
     let (shards, zones) = (common(&one.shards, &other.shards), common(&one.zones, &other.zones));
     let commands = common(&one.commands, &other.commands);
@@ -220,7 +220,7 @@
     let said = |key: &str, message: String| {
         let same = std::ptr::eq(one, other);
         let with = if same { "itself".into() } else { format!("[{}]", one.section.name) };
-        Some(other.section.fault_at(key, format!("{message}; it can't hold together with {with}")))
+        Some(other.section.error_at(key, format!("{message}; it can't hold together with {with}")))
     };
     let mut worlds_of_both: Vec<(Arc<Subject>, usize, Start)> = Vec::new();
     for state in one.states.iter().filter(|state| other.states.contains(state)) {
--- a/crates/expect/src/expectation.rs
+++ b/crates/expect/src/expectation.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeSet;
 
 use tansyjunction::interface::Micros;
-use tansyjunction_settings::{Expecting, Fault, Ini, Section, duration, flag, list, one_of, unknown, whole};
+use tansyjunction_settings::{
+    ExpectSettings, Ini, Section, SettingsError, duration, flag, list, one_of, unknown, whole,
+};
 
 use crate::scope::{self, Scope, Term};
 use crate::state::{self, Described, STATES, State};
@@ -133,14 +135,14 @@
 ];
 
 /// Adds the servers that files describe, `[server NAME]`, to those that the configuration lists.
-pub fn add_servers(subject: &mut Subject, files: &[Ini]) -> Result<(), Fault> {
+pub fn add_servers(subject: &mut Subject, files: &[Ini]) -> Result<(), SettingsError> {
     for section in files.iter().flat_map(|file| &file.sections) {
         let ("server", name) = section.kind() else { continue };
         section.only(&["shard", "zone", "size", "role"])?;
         if name.is_empty() {
-            return Err(section.fault("a server wants a name: [server NAME]"));
+            return Err(section.error("a server wants a name: [server NAME]"));
         }
-        let shard = section.entry("shard").ok_or_else(|| section.fault("'shard' is missing"))?;
+        let shard = section.entry("shard").ok_or_else(|| section.error("'shard' is missing"))?;
         let zone = section.value("zone", |text| scope::zone(subject, text))?;
         let size = section.value("size", tansyjunction_settings::number)?.unwrap_or(1.0);
         let roles = [("primary", true), ("replica", false)];
@@ -148,14 +150,14 @@
         let standing = tansyjunction::interface::ServerState::Serving;
         let zone = zone.unwrap_or(subject.own_zone);
         let added = subject.add(name, &shard.value.clone(), zone, size, standing, primary);
-        added.map_err(|message| section.fault(message))?;
+        added.map_err(|message| section.error(message))?;
     }
     Ok(())
 }
 
 impl Suite {
     /// Reads worlds and expectations; servers have been added before.
-    pub fn read(files: &[Ini], subject: &Subject, bounds: &Expecting) -> Result<Suite, Fault> {
+    pub fn read(files: &[Ini], subject: &Subject, bounds: &ExpectSettings) -> Result<Suite, SettingsError> {
         let mut suite = Suite::default();
         let sections = || files.iter().flat_map(|file| &file.sections);
         for section in sections() {
@@ -164,14 +166,14 @@
                 "expectation" | "server" => {}
                 other => {
                     let known = ["expectation", "world", "server"].into_iter();
-                    return Err(section.fault(unknown("kind of section", other, known)));
+                    return Err(section.error(unknown("kind of section", other, known)));
                 }
             }
         }
         for section in sections().filter(|section| section.kind().0 == "expectation") {
             let read = expectation(section, subject, &suite.worlds, bounds)?;
             if suite.expectations.iter().any(|other| other.name == read.name) {
-                return Err(section.fault("another expectation has this name"));
+                return Err(section.error("another expectation has this name"));
             }
             suite.expectations.push(read);
         }
@@ -184,15 +186,15 @@
     section: &Section,
     subject: &Subject,
     worlds: &[Described],
-    bounds: &Expecting,
-) -> Result<Expectation, Fault> {
+    bounds: &ExpectSettings,
+) -> Result<Expectation, SettingsError> {
     let (_, name) = section.kind();
     if name.is_empty() {
-        return Err(section.fault("an expectation wants a name: [expectation NAME]"));
+        return Err(section.error("an expectation wants a name: [expectation NAME]"));
     }
     section.only(&[&WHICH[..], &MUST].concat())?;
     if !MUST.iter().any(|key| section.entry(key).is_some()) {
-        return Err(section.fault(format!("nothing must hold; keys for that are {}", MUST.join(", "))));
+        return Err(section.error(format!("nothing must hold; keys for that are {}", MUST.join(", "))));
     }
     // A list of names, or a star for all that there are.
     let all = |key: &str, absent: &str, count: usize, read: &dyn Fn(&str) -> Result<usize, String>| {
@@ -202,10 +204,10 @@
             text => list(text)
                 .and_then(|names| names.iter().map(|name| read(name)).collect::<Result<Vec<_>, _>>()),
         }
-        .map_err(|message| section.fault_at(key, message))
+        .map_err(|message| section.error_at(key, message))
     };
     if section.entry("commands").is_none() {
-        return Err(section.fault("'commands' is missing"));
+        return Err(section.error("'commands' is missing"));
     }
     let commands = all("commands", "*", subject.command_groups.len(), &|n| scope::command_group(subject, n))?;
     let shards = all("shards", "*", subject.shards.len(), &|name| scope::shard(subject, name))?;
--- a/crates/expect/src/judge.rs
+++ b/crates/expect/src/judge.rs
@@ -2,7 +2,7 @@
 //! It looks at worlds and decides no route.
 
 use tansyjunction::interface::*;
-use tansyjunction_settings::{Expecting, Fault};
+use tansyjunction_settings::{ExpectSettings, SettingsError};
 
 use crate::expectation::{Limit, Must};
 use crate::steer::Steer;
@@ -322,9 +322,9 @@
 }
 
 /// The same for the program's settings.
-pub fn settings_lag(subject: &Subject, bounds: &Expecting, file: &str) -> Option<Fault> {
+pub fn settings_lag(subject: &Subject, bounds: &ExpectSettings, file: &str) -> Option<SettingsError> {
     let all: Vec<usize> = (0..subject.command_groups.len()).collect();
     let message = lag_beyond_bound(subject, bounds.replica_lag_allowed?, &all)?;
     let (section, key) = ("expect".to_string(), "replica_lag_allowed".to_string());
-    Some(Fault { file: file.into(), line: 0, section, key, message })
+    Some(SettingsError { file: file.into(), line: 0, section, key, message })
 }
--- a/crates/expect/src/saved.rs
+++ b/crates/expect/src/saved.rs
@@ -1,7 +1,7 @@
 //! A run that breaks an expectation, saved with all that it takes to run it again: configuration, files, choices.
 
 use serde_json::{Value as Json, json};
-use tansyjunction_settings::{Expecting, Ini};
+use tansyjunction_settings::{ExpectSettings, Ini};
 
 use crate::check::{Input, router};
 use crate::explore::{Choice, Counterexample, Setting, again};
@@ -60,8 +60,8 @@
     let files = files
         .map(|file| Ini::read(text(file, "name")?, &text(file, "text")?).map_err(|fault| fault.to_string()));
     let files = files.collect::<Result<Vec<_>, String>>()?;
-    let bounds = tansyjunction_settings::Program::default().expect;
-    let bounds = Expecting { replica_lag_allowed: None, ..bounds };
+    let bounds = tansyjunction_settings::ProgramSettings::default().expect;
+    let bounds = ExpectSettings { replica_lag_allowed: None, ..bounds };
     let input = Input::read(subject, files, bounds, String::new()).map_err(|fault| fault.to_string())?;
     let name = text(saved, "expectation")?;
     let expectation = input.suite.expectations.iter().find(|one| one.name == name);
--- a/crates/expect/src/state.rs
+++ b/crates/expect/src/state.rs
@@ -1,7 +1,7 @@
 //! States of the world that an expectation may name, and the worlds that each of them means for a shard.
 
 use tansyjunction::interface::*;
-use tansyjunction_settings::{Fault, Section, duration, list, one_of, unknown};
+use tansyjunction_settings::{Section, SettingsError, duration, list, one_of, unknown};
 
 use crate::scope;
 use crate::subject::{Need, Subject};
@@ -283,13 +283,13 @@
 
 /// Reads a section `[world NAME]`. Keys: `server.NAME` (words between commas), `gateway = new`, and for what changes
 /// by itself `after TIME = ...`.
-pub fn describe(section: &Section, subject: &Subject) -> Result<Described, Fault> {
+pub fn describe(section: &Section, subject: &Subject) -> Result<Described, SettingsError> {
     let (_, name) = section.kind();
     if name.is_empty() {
-        return Err(section.fault("a world wants a name: [world NAME]"));
+        return Err(section.error("a world wants a name: [world NAME]"));
     }
     if STATES.iter().any(|(known, _)| *known == name) {
-        return Err(section.fault(format!("'{name}' is a state that the program knows already")));
+        return Err(section.error(format!("'{name}' is a state that the program knows already")));
     }
     section.only(&["server.", "gateway", "after "])?;
     let warm = section.value("gateway", |text| one_of("gateway", text, &[("new", false), ("warm", true)]))?;
@@ -301,7 +301,7 @@
     };
     let mut lag_allowed = Vec::new();
     for entry in &section.entries {
-        let fault = |message: String| section.fault_at(&entry.key, message);
+        let fault = |message: String| section.error_at(&entry.key, message);
         if let Some(named) = entry.key.strip_prefix("server.") {
             let server = scope::server(subject, named).map_err(fault)?;
             if let Some(lag) = stand(&entry.value, &mut start.truths[server]).map_err(fault)? {
@@ -400,12 +400,12 @@
 }
 
 /// A world that can't be: two true primaries in a shard.
-fn contradicts(section: &Section, subject: &Subject, truths: &[Truth]) -> Result<(), Fault> {
+fn contradicts(section: &Section, subject: &Subject, truths: &[Truth]) -> Result<(), SettingsError> {
     for shard in 0..subject.shards.len() {
         let primaries: Vec<usize> = subject.members(shard).filter(|server| truths[*server].primary).collect();
         if let [first, second, ..] = primaries[..] {
             let (first, second) = (&subject.servers[first].name, &subject.servers[second].name);
-            return Err(section.fault(format!(
+            return Err(section.error(format!(
                 "{first} and {second} are both primary of shard {}; 'claims primary' is for one that only says so",
                 subject.shards[shard]
             )));
--- a/crates/expect/tests/common/mod.rs
+++ b/crates/expect/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use tansyjunction_expect::report::why;
 use tansyjunction_expect::steer::Steer;
 use tansyjunction_expect::{Input, Report, Subject, check};
-use tansyjunction_settings::{Ini, Program};
+use tansyjunction_settings::{Ini, ProgramSettings};
 
 pub fn folder() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/examples/expectations")
@@ -62,7 +62,7 @@
     let subject = Subject::read("config.json", config)?;
     let inis = files.iter().map(|text| Ini::read("expectations.ini", text));
     let inis = inis.collect::<Result<Vec<_>, _>>().map_err(|fault| fault.to_string())?;
-    let program = Ini::read("settings.ini", settings).and_then(|ini| Program::read(&ini));
+    let program = Ini::read("settings.ini", settings).and_then(|ini| ProgramSettings::read(&ini));
     let bounds = program.map_err(|fault| fault.to_string())?.expect;
     Input::read(subject, inis, bounds, "settings.ini".into()).map_err(|fault| fault.to_string())
 }
--- a/crates/gateway/src/council/member.rs
+++ b/crates/gateway/src/council/member.rs
@@ -19,7 +19,7 @@
 };
 use tansyjunction_duties::*;
 use tansyjunction_fellows::seal::{DatagramSealer, Keys};
-use tansyjunction_settings::Council as Set;
+use tansyjunction_settings::ConsensusSettings as Set;
 use tracing::{debug, error, info, warn};
 
 use super::conduct::{ConductedChange, SwitchEnded};
--- a/crates/gateway/src/council/mod.rs
+++ b/crates/gateway/src/council/mod.rs
@@ -28,7 +28,7 @@
 use tansyjunction::interface::Micros;
 use tansyjunction_duties::{LeaseConfig, Plan, ShardReport};
 use tansyjunction_fellows::seal::Keys;
-use tansyjunction_settings::Council as Set;
+use tansyjunction_settings::ConsensusSettings as Set;
 
 pub use self::fault::{RequestError, StartError};
 use self::member::ThreadConfig;
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -21,7 +21,7 @@
 use tansyjunction::Router;
 use tansyjunction::interface::*;
 use tansyjunction_hosting::{NameNumbers, PendingCommands, TimerQueue};
-use tansyjunction_settings::Program;
+use tansyjunction_settings::ProgramSettings;
 
 use self::company::Membership;
 use self::control::Controls;
@@ -101,7 +101,7 @@
         handle: LoopHandle<'static, Gateway>,
         mut deployment: Deployment,
         listener: Listener,
-        program: &Program,
+        program: &ProgramSettings,
     ) -> Self {
         let mut gateway = Gateway {
             handle,
--- a/crates/gateway/src/gateway/company.rs
+++ b/crates/gateway/src/gateway/company.rs
@@ -16,7 +16,7 @@
 use tansyjunction_fellows::opinion;
 use tansyjunction_fellows::seal::Keys;
 use tansyjunction_fellows::{GatewayIdentity, GossipConfig, GossipNode};
-use tansyjunction_settings::Company as Told;
+use tansyjunction_settings::MembershipSettings as Told;
 use tracing::{error, info, warn};
 
 use super::Gateway;
--- a/crates/gateway/src/gateway/council.rs
+++ b/crates/gateway/src/gateway/council.rs
@@ -11,7 +11,7 @@
 use tansyjunction_duties::{Plan, ShardReport, Step};
 use tansyjunction_fellows::membership::PeerStatus as Seen;
 use tansyjunction_handover::Phase;
-use tansyjunction_settings::Program;
+use tansyjunction_settings::ProgramSettings;
 use tracing::info;
 
 use super::scout::SharedProbing;
@@ -40,7 +40,7 @@
 
 impl Gateway {
     /// Starts the consensus thread if the settings enable it.
-    pub fn open_consensus(&mut self, program: &Program) -> Result<(), String> {
+    pub fn open_consensus(&mut self, program: &ProgramSettings) -> Result<(), String> {
         let set = &program.council;
         if !set.enabled {
             return Ok(());
--- a/crates/gateway/src/gateway/holds.rs
+++ b/crates/gateway/src/gateway/holds.rs
@@ -2,7 +2,7 @@
 
 use tansyjunction::interface::*;
 use tansyjunction_handover::{Admission, Handover, HandoverConfig, Write};
-use tansyjunction_settings::Program;
+use tansyjunction_settings::ProgramSettings;
 use tracing::{debug, info};
 
 use super::Gateway;
@@ -16,7 +16,7 @@
 
 impl WriteHolding {
     /// `None` if the settings disable it.
-    pub fn new(deployment: &Deployment, program: &Program) -> Option<WriteHolding> {
+    pub fn new(deployment: &Deployment, program: &ProgramSettings) -> Option<WriteHolding> {
         let set = &program.handover;
         if !set.enabled {
             return None;
--- a/crates/gateway/src/run/serve.rs
+++ b/crates/gateway/src/run/serve.rs
@@ -5,7 +5,7 @@
 
 use calloop::EventLoop;
 use calloop::signals::{Event, Signal, Signals};
-use tansyjunction_settings::Program;
+use tansyjunction_settings::ProgramSettings;
 use tracing::info;
 
 use crate::gateway::Gateway;
@@ -20,7 +20,7 @@
 
 /// Runs the gateway with the configuration at `path`, or the one named by the environment, and the program's settings.
 /// Handles `signals` received before.
-pub fn serve(signals: Signals, path: Option<PathBuf>, program: &Program) -> Result<(), String> {
+pub fn serve(signals: Signals, path: Option<PathBuf>, program: &ProgramSettings) -> Result<(), String> {
     let deployment = Deployment::read(path.as_deref())?;
     let text = |what: &'static str| move |error: calloop::Error| format!("{what}: {error}");
     let mut events: EventLoop<Gateway> = EventLoop::try_new().map_err(text("loop"))?;
--- a/crates/settings/src/council.rs
+++ b/crates/settings/src/council.rs
@@ -1,66 +1,66 @@
-//! `[council]`: agreed documents, leases and duties that one gateway holds at a time.
+//! `[council]`: consensus among gateways: agreed documents, leases and duties.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use tansyjunction::interface::Micros;
 
-use crate::ini::{Fault, Section};
+use crate::ini::{Section, SettingsError};
 use crate::values::{duration, flag, list, unknown, whole};
 
-/// What may stand between braces in a statement that makes a server the primary.
-const PLACES: [&str; 3] = ["shard", "to", "epoch"];
-/// A lease must outlive some renewals that get lost.
-const RENEWALS: Micros = 3;
-/// Clocks that run further apart than this are no clocks.
-const DRIFT_MOST: u64 = 20;
+/// Placeholders allowed in `switch_statement`.
+const PLACEHOLDERS: [&str; 3] = ["shard", "to", "epoch"];
+/// Number of renewal intervals that a lease must cover, so that some renewals may be lost.
+const RENEWALS_PER_LEASE: Micros = 3;
+/// Largest clock drift in percent that is accepted.
+const MAX_DRIFT_PERCENT: u64 = 20;
 
 /// Times in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Council {
-    /// Off: no thread is started, nothing is sent and nothing is read.
+pub struct ConsensusSettings {
+    /// If off, no thread is started and no datagrams are sent or read.
     pub enabled: bool,
-    /// Where datagrams of the other gateways are taken.
+    /// Address for datagrams of the other gateways.
     pub listen: Option<SocketAddr>,
-    /// The file with the keys, as that of `[fellows]`; may be the same one.
+    /// File with the keys, in the format of `[fellows]`; may be the same file.
     pub key_file: Option<PathBuf>,
-    /// Names of the gateways that vote, 1, 3 or 5.
+    /// Names of the voting gateways: 1, 3 or 5.
     pub seats: Vec<String>,
-    /// Where each seat is reached from here.
+    /// Address of each voting gateway.
     pub addresses: Vec<(String, SocketAddr)>,
-    /// The folder of this gateway's store; seats alone have one.
+    /// Folder of this gateway's store; only voting gateways have one.
     pub store: Option<PathBuf>,
-    /// How long a duty and an attendance last without being renewed, and between two renewals.
+    /// Duration of leases and attendances without renewal, and the renewal interval.
     pub lease: Micros,
     pub attend_every: Micros,
-    /// How far two clocks may drift apart, in percent.
+    /// Largest clock drift in percent.
     pub drift: u64,
-    /// A holder that renews while its work waits and goes on nowhere loses the duty after so long.
+    /// A holder that renews but makes no progress while work waits loses the duty after this time.
     pub stall_for: Micros,
-    /// One that lost a duty to a fault is passed over for so long when it is given out again.
+    /// A gateway that lost a duty involuntarily ranks last in elections for this time.
     pub flap_for: Micros,
-    /// Between two beats of the leading seat, and the least silence of it before another one stands for election.
+    /// Heartbeat interval of the leader, and election timeout.
     pub beat: Micros,
     pub elect_after: Micros,
-    /// Between two questions of a gateway that is no seat.
+    /// Interval between requests for changes of a gateway that does not vote.
     pub ask_every: Micros,
-    /// Entries that are kept before the log is cut.
+    /// Number of log entries after which the log is compacted.
     pub compact_after: u64,
-    /// Makes a server the primary; None: an operator does, and the conductor waits for it.
+    /// Statement that makes a server the primary. `None`: an operator does it, and the conductor waits.
     pub switch_statement: Option<String>,
-    /// How long one try of that may take; what has no answer by then is told again. It may outlast a lease: whoever
-    /// holds the duty next tells a later epoch, and the server refuses this one from then on.
+    /// Timeout of one attempt; an unanswered one is repeated. It may outlast a lease: the next holder uses a later
+    /// epoch, after which the server rejects this one.
     pub effect_within: Micros,
-    /// How long each step of a change of primary may take before the change is taken back.
+    /// Timeout of each step of a change of primary, after which the change is reverted.
     pub step_within: Micros,
-    /// Whether one gateway per group probes members that are down for all, and how old its word may be.
+    /// Whether one gateway per group probes members that are down for all, and the largest age of its results.
     pub scout: bool,
     pub scout_word: Micros,
 }
 
-impl Default for Council {
+impl Default for ConsensusSettings {
     fn default() -> Self {
-        Council {
+        ConsensusSettings {
             enabled: false,
             listen: None,
             key_file: None,
@@ -80,14 +80,14 @@
             effect_within: 1_000_000,
             step_within: 10_000_000,
             scout: false,
-            // Members that are down are probed every 4 s at the least; the rest is for the way.
+            // Members that are down are probed at least every 4 s; the rest covers transit.
             scout_word: 6_000_000,
         }
     }
 }
 
-impl Council {
-    pub(crate) fn read(&mut self, section: &Section) -> Result<(), Fault> {
+impl ConsensusSettings {
+    pub(crate) fn read(&mut self, section: &Section) -> Result<(), SettingsError> {
         section.only(&[
             "enabled",
             "listen",
@@ -117,7 +117,7 @@
         self.key_file = section.entry("key_file").map(|entry| PathBuf::from(&entry.value));
         self.store = section.entry("store").map(|entry| PathBuf::from(&entry.value));
         if self.store.as_ref().is_some_and(|path| !path.is_absolute()) {
-            return Err(section.fault_at("store", "it is not a path from the root"));
+            return Err(section.error_at("store", "not an absolute path"));
         }
         self.read_seats(section, address)?;
         let some = |text: &str| match duration(text)? {
@@ -140,7 +140,7 @@
         }
         self.scout = section.value("scout", flag)?.unwrap_or(self.scout);
         let drift = |text: &str| match whole(text)? {
-            n if n > DRIFT_MOST => Err(format!("{n} is more than {DRIFT_MOST} percent")),
+            n if n > MAX_DRIFT_PERCENT => Err(format!("{n} is more than {MAX_DRIFT_PERCENT} percent")),
             n => Ok(n),
         };
         self.drift = section.value("drift", drift)?.unwrap_or(self.drift);
@@ -150,15 +150,15 @@
         };
         self.compact_after = section.value("compact_after", entries)?.unwrap_or(self.compact_after);
         self.switch_statement = section.value("switch_statement", statement)?;
-        if self.lease < RENEWALS * self.attend_every {
-            let message = format!("it is shorter than {RENEWALS} times 'attend_every'");
-            return Err(section.fault_at("lease", message));
+        if self.lease < RENEWALS_PER_LEASE * self.attend_every {
+            let message = format!("it is shorter than {RENEWALS_PER_LEASE} times 'attend_every'");
+            return Err(section.error_at("lease", message));
         }
         if self.elect_after < 3 * self.beat {
-            return Err(section.fault_at("elect_after", "it is shorter than 3 times 'beat'"));
+            return Err(section.error_at("elect_after", "it is shorter than 3 times 'beat'"));
         }
         if self.stall_for < self.lease {
-            return Err(section.fault_at("stall_for", "it is shorter than 'lease'"));
+            return Err(section.error_at("stall_for", "it is shorter than 'lease'"));
         }
         if self.enabled {
             let missing = [
@@ -167,11 +167,11 @@
                 ("seats", self.seats.is_empty()),
             ];
             if let Some((key, _)) = missing.iter().find(|(_, missing)| *missing) {
-                return Err(section.fault_at("enabled", format!("'{key}' is missing")));
+                return Err(section.error_at("enabled", format!("'{key}' is missing")));
             }
             let nowhere = |seat: &&String| !self.addresses.iter().any(|(name, _)| name == *seat);
             if let Some(seat) = self.seats.iter().find(nowhere) {
-                return Err(section.fault_at("enabled", format!("'seat.{seat}' is missing")));
+                return Err(section.error_at("enabled", format!("'seat.{seat}' is missing")));
             }
         }
         Ok(())
@@ -181,11 +181,11 @@
         &mut self,
         section: &Section,
         address: impl Fn(&str) -> Result<SocketAddr, String> + Copy,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), SettingsError> {
         let seats = |text: &str| {
             let seats = list(text)?;
             if let Some((at, twice)) = seats.iter().enumerate().find(|(at, one)| seats[..*at].contains(one)) {
-                return Err(format!("'{twice}' stands there twice, at {}", at + 1));
+                return Err(format!("'{twice}' is listed twice, at {}", at + 1));
             }
             match seats.len() {
                 1 | 3 | 5 => Ok(seats),
@@ -196,7 +196,7 @@
         for entry in &section.entries {
             let Some(name) = entry.key.strip_prefix("seat.") else { continue };
             if !self.seats.iter().any(|seat| seat == name) {
-                return Err(section.fault_at(&entry.key, format!("'{name}' is not among 'seats'")));
+                return Err(section.error_at(&entry.key, format!("'{name}' is not among 'seats'")));
             }
             if let Some(address) = section.value(&entry.key, address)? {
                 self.addresses.push((name.into(), address));
@@ -206,13 +206,13 @@
     }
 }
 
-/// A statement with places for shard, target and epoch. A server that is not told the epoch can't refuse a holder whose
-/// time is over.
+/// A statement with placeholders for shard, target and epoch. Without the epoch the server could not reject a holder
+/// whose lease has expired.
 fn statement(text: &str) -> Result<String, String> {
     for part in text.split('{').skip(1) {
         let name = part.split_once('}').map_or(part, |(name, _)| name);
-        if !PLACES.contains(&name) {
-            return Err(unknown("part", name, PLACES.into_iter()));
+        if !PLACEHOLDERS.contains(&name) {
+            return Err(unknown("part", name, PLACEHOLDERS.into_iter()));
         }
     }
     match text.contains("{epoch}") && text.contains("{to}") {
--- a/crates/settings/src/ini.rs
+++ b/crates/settings/src/ini.rs
@@ -1,4 +1,4 @@
-//! INI files as sections of keys and values that know their lines.
+//! INI files as sections of keys and values with their line numbers.
 
 use std::fmt;
 use std::path::Path;
@@ -8,19 +8,19 @@
 
 use crate::values::unknown;
 
-/// What is wrong with a file, and where.
+/// An error in a settings file and its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct SettingsError {
     pub file: Arc<str>,
-    /// Counted from 1; 0: the file as a whole.
+    /// Line number from 1; 0 for the whole file.
     pub line: u32,
     pub section: String,
-    /// Empty: the section as a whole.
+    /// Empty for the whole section.
     pub key: String,
     pub message: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.file)?;
         if self.line > 0 {
@@ -36,8 +36,9 @@
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for SettingsError {}
 
+/// A key with its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     pub key: String,
@@ -45,6 +46,7 @@
     pub line: u32,
 }
 
+/// A section.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Section {
     pub file: Arc<str>,
@@ -54,52 +56,58 @@
 }
 
 impl Section {
-    /// The section's kind and its own name: `world late list` is of the kind `world`.
+    /// The kind and the own name of the section: `world late list` is of kind `world`.
     pub fn kind(&self) -> (&str, &str) {
         let (kind, name) = self.name.split_once(char::is_whitespace).unwrap_or((&self.name, ""));
         (kind, name.trim())
     }
 
+    /// The entry of a key.
     pub fn entry(&self, key: &str) -> Option<&Entry> {
         self.entries.iter().find(|entry| entry.key == key)
     }
 
-    /// A fault of the section as a whole.
-    pub fn fault(&self, message: impl Into<String>) -> Fault {
+    /// An error of the whole section.
+    pub fn error(&self, message: impl Into<String>) -> SettingsError {
         let (file, section) = (self.file.clone(), self.name.clone());
-        Fault { file, line: self.line, section, key: String::new(), message: message.into() }
+        SettingsError { file, line: self.line, section, key: String::new(), message: message.into() }
     }
 
-    /// A fault of one of its keys, or of the section where it lacks that key.
-    pub fn fault_at(&self, key: &str, message: impl Into<String>) -> Fault {
+    /// An error of a key, or of the section if the key is missing.
+    pub fn error_at(&self, key: &str, message: impl Into<String>) -> SettingsError {
         let line = self.entry(key).map_or(self.line, |entry| entry.line);
-        Fault { line, key: key.into(), ..self.fault(message) }
+        SettingsError { line, key: key.into(), ..self.error(message) }
     }
 
-    /// What `read` makes of a key's value, with file, line and key in the message where it can't be read.
-    pub fn value<T>(&self, key: &str, read: impl Fn(&str) -> Result<T, String>) -> Result<Option<T>, Fault> {
+    /// Parses the value of a key; errors contain file, line and key.
+    pub fn value<T>(
+        &self,
+        key: &str,
+        read: impl Fn(&str) -> Result<T, String>,
+    ) -> Result<Option<T>, SettingsError> {
         let read = self.entry(key).map(|entry| read(&entry.value));
-        read.transpose().map_err(|message| self.fault_at(key, message))
+        read.transpose().map_err(|message| self.error_at(key, message))
     }
 
-    /// Refuses keys that are not among `known`; those that end with a dot or a blank stand for all that begin so.
-    pub fn only(&self, known: &[&str]) -> Result<(), Fault> {
+    /// Rejects keys that are not in `known`; known names that end with a dot or a blank are prefixes.
+    pub fn only(&self, known: &[&str]) -> Result<(), SettingsError> {
         let fits = |key: &str| {
             known.iter().any(|k| if k.ends_with(['.', ' ']) { key.starts_with(k) } else { key == *k })
         };
         match self.entries.iter().find(|entry| !fits(&entry.key)) {
             None => Ok(()),
-            Some(entry) => Err(self.fault_at(&entry.key, unknown("key", &entry.key, known.iter().copied()))),
+            Some(entry) => Err(self.error_at(&entry.key, unknown("key", &entry.key, known.iter().copied()))),
         }
     }
 
-    /// The section as it would stand in a file.
+    /// The section as text.
     pub fn text(&self) -> String {
         let lines = self.entries.iter().map(|entry| format!("{} = {}\n", entry.key, entry.value));
         format!("[{}]\n{}", self.name, lines.collect::<String>())
     }
 }
 
+/// A parsed file.
 #[derive(Clone, Debug)]
 pub struct Ini {
     pub file: Arc<str>,
@@ -107,27 +115,29 @@
 }
 
 impl Ini {
-    pub fn open(path: &Path) -> Result<Ini, Fault> {
+    /// Reads and parses a file.
+    pub fn open(path: &Path) -> Result<Ini, SettingsError> {
         let file: Arc<str> = path.display().to_string().into();
         match std::fs::read_to_string(path) {
             Ok(text) => Ini::read(file, &text),
-            Err(error) => Err(whole_file(file, error.to_string())),
+            Err(error) => Err(file_error(file, error.to_string())),
         }
     }
 
-    pub fn read(file: impl Into<Arc<str>>, text: &str) -> Result<Ini, Fault> {
+    /// Parses text; `file` is used in errors.
+    pub fn read(file: impl Into<Arc<str>>, text: &str) -> Result<Ini, SettingsError> {
         let file = file.into();
         let mut sections: Vec<Section> = Vec::new();
         let mut parser = Parser::new(text).auto_trim(true);
         loop {
             let line = parser.line() + 1;
             let Some(item) = parser.next() else { break };
-            let fault = |message: &str| Fault { line, ..whole_file(file.clone(), message) };
+            let fault = |message: &str| SettingsError { line, ..file_error(file.clone(), message) };
             match item {
                 Item::Section("") => return Err(fault("a section without a name")),
                 Item::Section(name) => {
                     if let Some(other) = sections.iter().find(|section| section.name == name) {
-                        return Err(fault(&format!("[{name}] stands on line {} already", other.line)));
+                        return Err(fault(&format!("[{name}] is already defined on line {}", other.line)));
                     }
                     let (file, name) = (file.clone(), name.into());
                     sections.push(Section { file, name, line, entries: Vec::new() });
@@ -138,15 +148,15 @@
                 }
                 Item::Property(key, Some(value)) => {
                     let Some(section) = sections.last_mut() else {
-                        return Err(fault(&format!("'{key}' stands before the first section")));
+                        return Err(fault(&format!("'{key}' precedes the first section")));
                     };
                     let (key, value) = (key.to_string(), without_comment(value).to_string());
                     if section.entry(&key).is_some() {
-                        return Err(section.fault_at(&key, format!("given again on line {line}")));
+                        return Err(section.error_at(&key, format!("defined again on line {line}")));
                     }
                     section.entries.push(Entry { key, value, line });
                 }
-                Item::Error(text) => return Err(fault(&format!("'{text}' is not a section's head"))),
+                Item::Error(text) => return Err(fault(&format!("'{text}' is not a section header"))),
                 Item::SectionEnd | Item::Comment(_) | Item::Blank => {}
             }
         }
@@ -154,11 +164,11 @@
     }
 }
 
-fn whole_file(file: Arc<str>, message: impl Into<String>) -> Fault {
-    Fault { file, line: 0, section: String::new(), key: String::new(), message: message.into() }
+fn file_error(file: Arc<str>, message: impl Into<String>) -> SettingsError {
+    SettingsError { file, line: 0, section: String::new(), key: String::new(), message: message.into() }
 }
 
-/// A comment after a value starts with a semicolon that follows a blank.
+/// Removes a comment that starts with a semicolon after a blank.
 fn without_comment(value: &str) -> &str {
     let end = value.match_indices(';').find(|(at, _)| *at == 0 || value[..*at].ends_with([' ', '\t']));
     value[..end.map_or(value.len(), |(at, _)| at)].trim()
@@ -183,12 +193,12 @@
     #[test]
     fn faults_tell_file_line_and_key() {
         for (text, message) in [
-            ("a = 1", "f.ini:1: 'a' stands before the first section"),
+            ("a = 1", "f.ini:1: 'a' precedes the first section"),
             ("[a]\nb", "f.ini:2: 'b' is neither a section nor 'key = value'"),
-            ("[a\n", "f.ini:1: '[a' is not a section's head"),
+            ("[a\n", "f.ini:1: '[a' is not a section header"),
             ("[]", "f.ini:1: a section without a name"),
-            ("[a]\n[a]", "f.ini:2: [a] stands on line 1 already"),
-            ("[a]\nb=1\n\nb=2", "f.ini:2 [a] 'b': given again on line 4"),
+            ("[a]\n[a]", "f.ini:2: [a] is already defined on line 1"),
+            ("[a]\nb=1\n\nb=2", "f.ini:2 [a] 'b': defined again on line 4"),
         ] {
             assert_eq!(Ini::read("f.ini", text).expect_err(text).to_string(), message);
         }
--- a/crates/settings/src/program.rs
+++ b/crates/settings/src/program.rs
@@ -1,6 +1,6 @@
-//! The program's own settings: the one place where they are read, checked and given defaults.
+//! The program's own settings: read, validated and completed with defaults.
 //!
-//! Without a file all of them have the values that the program had before there was one.
+//! Without a file all settings have their defaults.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,20 +8,22 @@
 
 use tansyjunction::interface::Micros;
 
-use crate::council::Council;
-use crate::ini::{Fault, Ini, Section};
+use crate::council::ConsensusSettings;
+use crate::ini::{Ini, Section, SettingsError};
 use crate::values::{duration, flag, list, one_of, unknown, whole};
 
-/// The parts of the program whose log lines have a level of their own.
-pub const PARTS: [&str; 8] =
+/// Log targets that have a level of their own.
+pub const LOG_TARGETS: [&str; 8] =
     ["start", "clients", "servers", "discovery", "limits", "commands", "fellows", "council"];
 
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
     Text,
     Json,
 }
 
+/// Log level.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Level {
     Off,
@@ -43,36 +45,36 @@
 
 /// `[log]`
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Logging {
+pub struct LogSettings {
     pub format: Format,
     pub level: Level,
-    /// Levels of single parts, by their names in [`PARTS`].
+    /// Levels of log targets, by name as in [`LOG_TARGETS`].
     pub levels: BTreeMap<String, Level>,
-    /// Lines in any one second; what goes beyond is counted and told with the next line. 0: no bound.
+    /// Most log lines per second; further ones are counted and reported with the next line. 0: no limit.
     pub lines_a_second: u64,
 }
 
-/// `[expect]`: bounds of the search for runs that break an expectation.
+/// `[expect]`: limits of the search for runs that violate an expectation.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Expecting {
-    /// How far any replica may fall behind before operators step in, in microseconds; None: not stated.
+pub struct ExpectSettings {
+    /// Largest replication lag before operators intervene, in microseconds; `None` if unspecified.
     pub replica_lag_allowed: Option<Micros>,
-    /// Faults beyond those of the world that a run may meet.
+    /// Most faults in a run beyond those of its scenario.
     pub faults: usize,
     pub seeds: u64,
-    /// Runs of one expectation, and the time for all of them, in microseconds.
+    /// Most runs per expectation, and the total time in microseconds.
     pub runs: u64,
     pub time_limit: Micros,
 }
 
-/// `[handover]`: what is held while a primary is replaced, and where operators announce changes. Times in microseconds.
+/// `[handover]`: holding of writes while a primary is replaced, and the operators' socket. Times in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Handing {
-    /// Off: writes go straight to the router, as without this part of the program.
+pub struct HandoverSettings {
+    /// If off, writes go straight to the router.
     pub enabled: bool,
-    /// A Unix socket for operators, made with mode 0600; None: there is none.
+    /// Path of the operators' Unix socket, created with mode 0600; `None`: no socket.
     pub control: Option<PathBuf>,
-    /// Held writes of a shard, and of one client; bytes of a shard; all of them as a part of the memory, in percent.
+    /// Most held writes of a shard and of a client; most bytes of a shard; all held bytes in percent of the memory.
     pub held_most: usize,
     pub held_client: usize,
     pub held_bytes: usize,
@@ -81,7 +83,7 @@
     pub drain_for: Micros,
     pub switch_for: Micros,
     pub caught_up: Micros,
-    /// Between the first releases of all gateways together, and the least between two of this one.
+    /// Interval between the first releases over all gateways, and the shortest interval of this one.
     pub gap: Micros,
     pub gap_least: Micros,
     pub usual: Micros,
@@ -90,9 +92,9 @@
     pub doubt_for: Micros,
 }
 
-impl Default for Handing {
+impl Default for HandoverSettings {
     fn default() -> Self {
-        Handing {
+        HandoverSettings {
             enabled: false,
             control: None,
             held_most: 2_000,
@@ -113,8 +115,8 @@
     }
 }
 
-impl Handing {
-    fn read(&mut self, section: &Section) -> Result<(), Fault> {
+impl HandoverSettings {
+    fn read(&mut self, section: &Section) -> Result<(), SettingsError> {
         section.only(&[
             "enabled",
             "control",
@@ -137,10 +139,10 @@
         self.control = section.entry("control").map(|entry| PathBuf::from(&entry.value));
         let path = self.control.as_ref().is_some_and(|path| !path.is_absolute());
         if path {
-            return Err(section.fault_at("control", "it is not a path from the root"));
+            return Err(section.error_at("control", "not an absolute path"));
         }
         if self.control.is_some() && !self.enabled {
-            return Err(section.fault_at("control", "it serves nothing unless 'enabled' is yes"));
+            return Err(section.error_at("control", "has no effect unless 'enabled' is yes"));
         }
         let some = |text: &str| match whole(text)? {
             0 => Err("0 is too few".to_string()),
@@ -156,7 +158,7 @@
         }
         if self.held_memory > 50 {
             return Err(
-                section.fault_at("held_memory", "more than 50 percent leaves too little for the rest")
+                section.error_at("held_memory", "more than 50 percent leaves too little for the rest")
             );
         }
         for (key, value) in [
@@ -177,42 +179,41 @@
     }
 }
 
-/// `[fellows]`: the other gateways, and what is told among them. Times in microseconds.
+/// `[fellows]`: membership and gossip among gateways. Times in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Company {
-    /// Off: nothing is sent and nothing that comes is looked at.
+pub struct MembershipSettings {
+    /// If off, nothing is sent and received datagrams are ignored.
     pub enabled: bool,
-    /// Where datagrams are taken; None: at the configuration's `peer_listen`.
+    /// Address for datagrams; `None`: the configuration's `peer_listen`.
     pub listen: Option<SocketAddr>,
-    /// The file with the keys.
+    /// File with the keys.
     pub key_file: Option<PathBuf>,
-    /// Where others may be found, by their names.
+    /// Addresses of other gateways by name.
     pub peers: Vec<(String, SocketAddr)>,
-    /// Where others are reached from here, where that is not the address that they give themselves.
+    /// Addresses of other gateways where they differ from those that they announce.
     pub routes: Vec<(String, SocketAddr)>,
-    /// Regions in their order, each with its zones; zones that none names make up one more.
+    /// Regions in order with their zones; unnamed zones form one more region.
     pub regions: Vec<(String, Vec<String>)>,
-    /// Between two probes; from suspicion to death, in the own region; how many times longer in another.
+    /// Probe interval; time from suspicion to death in the own region; factor for other regions.
     pub probe_every: Micros,
     pub suspect_for: Micros,
     pub far: u64,
-    /// Between two rounds of gossip, and of evidence.
+    /// Intervals of gossip and of evidence.
     pub gossip_every: Micros,
-    /// Longest datagram, in bytes.
+    /// Largest datagram in bytes.
     pub datagram: usize,
-    /// Evidence is forgotten after so long; a datagram that was on its way for longer than `old_after` counts for
-    /// nothing.
+    /// Lifetime of evidence; datagrams in transit for longer than `old_after` are rejected.
     pub keep_for: Micros,
     pub old_after: Micros,
-    /// Whether the router hears what others saw.
+    /// Whether others' observations are passed to the router.
     pub advise: bool,
-    /// Whether all that is seen of servers is told, or only trouble and its end.
+    /// Whether all observations of servers are sent, or only problems and their end.
     pub tell_all: bool,
 }
 
-impl Default for Company {
+impl Default for MembershipSettings {
     fn default() -> Self {
-        Company {
+        MembershipSettings {
             enabled: false,
             listen: None,
             key_file: None,
@@ -232,18 +233,18 @@
     }
 }
 
-impl Company {
-    /// Least that a datagram must hold: two names, a seal and one change.
+impl MembershipSettings {
+    /// Smallest datagram: two names, a tag and one change.
     const DATAGRAM_LEAST: u64 = 200;
     const DATAGRAM_MOST: u64 = 1_400;
 
-    /// The place of a zone's region.
+    /// Index of a zone's region.
     pub fn region(&self, zone: &str) -> usize {
         let found = self.regions.iter().position(|(_, zones)| zones.iter().any(|one| one == zone));
         found.unwrap_or(self.regions.len())
     }
 
-    fn read(&mut self, section: &Section) -> Result<(), Fault> {
+    fn read(&mut self, section: &Section) -> Result<(), SettingsError> {
         section.only(&[
             "enabled",
             "listen",
@@ -280,7 +281,7 @@
             {
                 let twice = zones.iter().find(|zone| self.region(zone) < self.regions.len());
                 if let Some(zone) = twice {
-                    return Err(section.fault_at(&entry.key, format!("zone '{zone}' is in two regions")));
+                    return Err(section.error_at(&entry.key, format!("zone '{zone}' is in two regions")));
                 }
                 self.regions.push((name.into(), zones));
             }
@@ -308,36 +309,37 @@
         let tells = [("all", true), ("trouble", false)];
         self.tell_all = section.value("tell", |text| one_of("way", text, &tells))?.unwrap_or(self.tell_all);
         if self.suspect_for < self.probe_every {
-            return Err(section.fault_at("suspect_for", "it is shorter than 'probe_every'"));
+            return Err(section.error_at("suspect_for", "it is shorter than 'probe_every'"));
         }
         if self.enabled && self.key_file.is_none() {
-            return Err(section.fault_at("enabled", "'key_file' is missing"));
+            return Err(section.error_at("enabled", "'key_file' is missing"));
         }
         Ok(())
     }
 }
 
+/// All settings of the program.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Program {
-    pub log: Logging,
-    pub expect: Expecting,
-    pub handover: Handing,
-    pub fellows: Company,
-    pub council: Council,
-    /// Operators' socket.
+pub struct ProgramSettings {
+    pub log: LogSettings,
+    pub expect: ExpectSettings,
+    pub handover: HandoverSettings,
+    pub fellows: MembershipSettings,
+    pub council: ConsensusSettings,
+    /// Path of the operators' socket.
     pub control: Option<PathBuf>,
 }
 
-impl Default for Program {
+impl Default for ProgramSettings {
     fn default() -> Self {
         let levels = BTreeMap::new();
-        Program {
-            log: Logging { format: Format::Text, level: Level::Info, levels, lines_a_second: 20 },
-            handover: Handing::default(),
-            fellows: Company::default(),
-            council: Council::default(),
+        ProgramSettings {
+            log: LogSettings { format: Format::Text, level: Level::Info, levels, lines_a_second: 20 },
+            handover: HandoverSettings::default(),
+            fellows: MembershipSettings::default(),
+            council: ConsensusSettings::default(),
             control: None,
-            expect: Expecting {
+            expect: ExpectSettings {
                 replica_lag_allowed: None,
                 faults: 1,
                 seeds: 4,
@@ -348,14 +350,14 @@
     }
 }
 
-impl Program {
-    /// Reads the file at `path`; None: all is as without one.
-    pub fn open(path: Option<&Path>) -> Result<Program, Fault> {
-        path.map_or(Ok(Program::default()), |path| Program::read(&Ini::open(path)?))
+impl ProgramSettings {
+    /// Reads the file at `path`; `None`: all defaults.
+    pub fn open(path: Option<&Path>) -> Result<ProgramSettings, SettingsError> {
+        path.map_or(Ok(ProgramSettings::default()), |path| ProgramSettings::read(&Ini::open(path)?))
     }
 
-    pub fn read(ini: &Ini) -> Result<Program, Fault> {
-        let mut program = Program::default();
+    pub fn read(ini: &Ini) -> Result<ProgramSettings, SettingsError> {
+        let mut program = ProgramSettings::default();
         for section in &ini.sections {
             match section.name.as_str() {
                 "log" => program.log.read(section)?,
@@ -367,22 +369,22 @@
                     section.only(&["socket"])?;
                     program.control = section.entry("socket").map(|entry| PathBuf::from(&entry.value));
                     if program.control.as_ref().is_some_and(|path| !path.is_absolute()) {
-                        return Err(section.fault_at("socket", "it is not a path from the root"));
+                        return Err(section.error_at("socket", "not an absolute path"));
                     }
                 }
                 other => {
                     let known = ["log", "expect", "handover", "fellows", "council", "control"].into_iter();
-                    return Err(section.fault(unknown("section", other, known)));
+                    return Err(section.error(unknown("section", other, known)));
                 }
             }
         }
-        // The key that was there before there was a section for the socket.
+        // The older key, from before the section for the socket existed.
         program.control = program.control.take().or(program.handover.control.clone());
         if program.council.enabled && !program.handover.enabled {
             let section = ini.sections.iter().find(|section| section.name == "council");
             if let Some(section) = section {
                 return Err(
-                    section.fault_at("enabled", "a conductor needs [handover] 'enabled' at each gateway")
+                    section.error_at("enabled", "a conductor needs [handover] 'enabled' at each gateway")
                 );
             }
         }
@@ -392,15 +394,15 @@
             if let Some(section) = section {
                 let message =
                     "a scout needs [council] and [fellows] 'enabled', and the fellows' names: 'peer.NAME'";
-                return Err(section.fault_at("scout", message));
+                return Err(section.error_at("scout", message));
             }
         }
         Ok(program)
     }
 }
 
-impl Logging {
-    fn read(&mut self, section: &Section) -> Result<(), Fault> {
+impl LogSettings {
+    fn read(&mut self, section: &Section) -> Result<(), SettingsError> {
         section.only(&["format", "level", "level.", "lines_a_second"])?;
         let formats = [("text", Format::Text), ("json", Format::Json)];
         if let Some(format) = section.value("format", |text| one_of("format", text, &formats))? {
@@ -412,8 +414,8 @@
         }
         for entry in &section.entries {
             let Some(part) = entry.key.strip_prefix("level.") else { continue };
-            if !PARTS.contains(&part) {
-                return Err(section.fault_at(&entry.key, unknown("part", part, PARTS.into_iter())));
+            if !LOG_TARGETS.contains(&part) {
+                return Err(section.error_at(&entry.key, unknown("part", part, LOG_TARGETS.into_iter())));
             }
             if let Some(level) = section.value(&entry.key, level)? {
                 self.levels.insert(part.into(), level);
@@ -426,11 +428,11 @@
     }
 }
 
-impl Expecting {
-    /// Faults beyond this many can't be searched through in any time that somebody waits.
+impl ExpectSettings {
+    /// More faults cannot be searched in acceptable time.
     const FAULTS_MOST: u64 = 4;
 
-    fn read(&mut self, section: &Section) -> Result<(), Fault> {
+    fn read(&mut self, section: &Section) -> Result<(), SettingsError> {
         section.only(&["replica_lag_allowed", "faults", "seeds", "runs", "time_limit"])?;
         self.replica_lag_allowed = section.value("replica_lag_allowed", duration)?;
         let few = |text: &str| match whole(text)? {
@@ -453,8 +455,8 @@
 
     #[test]
     fn absent_keys_take_their_defaults_and_faults_name_theirs() {
-        let read = |text: &str| Ini::read("t.ini", text).and_then(|ini| Program::read(&ini));
-        assert_eq!(read(""), Ok(Program::default()));
+        let read = |text: &str| Ini::read("t.ini", text).and_then(|ini| ProgramSettings::read(&ini));
+        assert_eq!(read(""), Ok(ProgramSettings::default()));
         let set = read(
             "[log]\nformat = json\nlevel = warn\nlevel.servers = debug\nlines_a_second = 5\n[expect]\nfaults = 2\n\
              replica_lag_allowed = 3s\ntime_limit = 1m",
@@ -475,8 +477,8 @@
             ("[expect]\nfaults = 9", "'faults': 9 is more than 4"),
             ("[expect]\nseeds = 0", "'seeds': 0 is too few"),
             ("[expect]\ntime_limit = 10", "'time_limit': '10' is not a time"),
-            ("[handover]\ncontrol = x", "'control': it is not a path from the root"),
-            ("[handover]\ncontrol = /x", "'control': it serves nothing unless 'enabled' is yes"),
+            ("[handover]\ncontrol = x", "'control': not an absolute path"),
+            ("[handover]\ncontrol = /x", "'control': has no effect unless 'enabled' is yes"),
             ("[handover]\nheld_most = 0", "'held_most': 0 is too few"),
             ("[handover]\nheld_memory = 60", "'held_memory': more than 50 percent"),
             ("[handover]\nlook = 1s", "'look': no such key"),
@@ -486,12 +488,12 @@
             ("[fellows]\ndatagram = 20", "'datagram': 20 is not from 200 to 1400"),
             ("[fellows]\nprobe_every = 0", "'probe_every': 0 is too short"),
             ("[fellows]\nsuspect_for = 10ms", "'suspect_for': it is shorter than 'probe_every'"),
-            ("[control]\nsocket = x", "'socket': it is not a path from the root"),
+            ("[control]\nsocket = x", "'socket': not an absolute path"),
             ("[council]\nenabled = yes", "'enabled': 'listen' is missing"),
             ("[council]\nseats = n0, n1", "'seats': there are 1, 3 or 5 of them, not 2"),
-            ("[council]\nseats = n0, n1, n1", "'seats': 'n1' stands there twice"),
+            ("[council]\nseats = n0, n1, n1", "'seats': 'n1' is listed twice"),
             ("[council]\nseats = n0\nseat.n1 = 127.0.0.1:1", "'seat.n1': 'n1' is not among 'seats'"),
-            ("[council]\nstore = x", "'store': it is not a path from the root"),
+            ("[council]\nstore = x", "'store': not an absolute path"),
             ("[council]\nlease = 300ms", "'lease': it is shorter than 3 times 'attend_every'"),
             ("[council]\nscout = maybe", "'scout'"),
             ("[council]\nscout = yes", "'scout': a scout needs [council] and [fellows]"),
--- a/crates/settings/src/values.rs
+++ b/crates/settings/src/values.rs
@@ -1,8 +1,8 @@
-//! Values of keys.
+//! Parsers of values.
 
 use tansyjunction::interface::Micros;
 
-/// A time such as `400ms`, `3s` or `1m 30s`, in microseconds.
+/// Parses a duration such as `400ms`, `3s` or `1m 30s`, in microseconds.
 pub fn duration(text: &str) -> Result<Micros, String> {
     if text == "0" {
         return Ok(0);
@@ -12,16 +12,18 @@
     Micros::try_from(read.as_micros()).map_err(|_| format!("'{text}' is too long a time"))
 }
 
+/// Parses a non-negative integer.
 pub fn whole(text: &str) -> Result<u64, String> {
     text.parse().map_err(|_| format!("'{text}' is not a whole number"))
 }
 
-/// A number from 0 up.
+/// Parses a non-negative number.
 pub fn number(text: &str) -> Result<f64, String> {
     let read = text.parse::<f64>().ok().filter(|n| n.is_finite() && *n >= 0.0);
     read.ok_or_else(|| format!("'{text}' is not a number from 0 up"))
 }
 
+/// Parses a boolean.
 pub fn flag(text: &str) -> Result<bool, String> {
     match text {
         "yes" | "on" | "true" => Ok(true),
@@ -30,7 +32,7 @@
     }
 }
 
-/// What stands between commas; an empty part is an error.
+/// Parses a comma-separated list without empty parts.
 pub fn list(text: &str) -> Result<Vec<String>, String> {
     let parts: Vec<String> = text.split(',').map(|part| part.trim().to_string()).collect();
     match parts.iter().any(String::is_empty) {
@@ -39,13 +41,13 @@
     }
 }
 
-/// One of `known`, by its name.
+/// Parses one of the `known` names.
 pub fn one_of<T: Copy>(what: &str, text: &str, known: &[(&str, T)]) -> Result<T, String> {
     let found = known.iter().find(|(name, _)| *name == text).map(|(_, value)| *value);
     found.ok_or_else(|| unknown(what, text, known.iter().map(|(name, _)| *name)))
 }
 
-/// What is said of a name that is not known: with the nearest of those that are, or a few of them.
+/// Error text for an unknown name, with the nearest known one or a few of them.
 pub fn unknown<'a>(what: &str, name: &str, known: impl Iterator<Item = &'a str> + Clone) -> String {
     match nearest(name, known.clone()) {
         Some(near) => format!("no such {what}; the nearest is '{near}'"),
@@ -59,7 +61,7 @@
     }
 }
 
-/// The known name that `name` was likely meant to be.
+/// The known name that is probably meant.
 pub fn nearest<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     let like = |other: &str| strsim::normalized_damerau_levenshtein(name, other);
     let scored = known.map(|other| (like(other), other)).filter(|(score, _)| *score >= 0.5);
--- a/crates/standin/src/script.rs
+++ b/crates/standin/src/script.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use tansyjunction_settings::{Fault, Ini, duration};
+use tansyjunction_settings::{Ini, SettingsError, duration};
 
 use crate::discovery::Discovery;
 use crate::store::{Death, Store};
@@ -30,16 +30,16 @@
 impl Script {
     /// Reads `switch SHARD to SERVER after TIME`, `kill SERVER`, `kill SERVER after commit`, `hang SERVER`, `lag
     /// SERVER TIME`, `crown SERVER`, `back SERVER`, `back SERVER as it was` and `list SERVER`.
-    pub fn read(ini: &Ini, shards: usize, members: usize) -> Result<Script, Fault> {
+    pub fn read(ini: &Ini, shards: usize, members: usize) -> Result<Script, SettingsError> {
         let mut steps = Vec::new();
         for section in &ini.sections {
             let at = match section.kind() {
-                ("at", time) => duration(time).map_err(|message| section.fault(message))?,
-                _ => return Err(section.fault("it is not of the form [at TIME]")),
+                ("at", time) => duration(time).map_err(|message| section.error(message))?,
+                _ => return Err(section.error("it is not of the form [at TIME]")),
             };
             section.only(&["do"])?;
             let step = section.value("do", |text| step(text, shards, members))?;
-            let step = step.ok_or_else(|| section.fault("'do' is missing"))?;
+            let step = step.ok_or_else(|| section.error("'do' is missing"))?;
             steps.push((Duration::from_micros(at), step));
         }
         steps.sort_by_key(|(at, _)| *at);
