--- a/crates/cli/src/account.rs
+++ b/crates/cli/src/account.rs
@@ -58,13 +58,11 @@
         "answered" if !late => String::new(),
         "answered" => late_cause(course, &endings),
         "left" if course.sent.iter().any(|sent| sent.ended.is_none()) => {
-            "its client left: a server had it".into()
+            "client left while a server had the command".into()
         }
-        "left" => "its client left: it was held".into(),
+        "left" => "client left while the command was held".into(),
         // A command that used up its client's time at a server was not held for lack of capacity.
-        "throttled" if endings.contains(&"TimedOut") => {
-            "throttled: a server had it until its time was over".into()
-        }
+        "throttled" if endings.contains(&"TimedOut") => "throttled: timed out at a server".into(),
         // Only commands for the primary find members that lack the role.
         "throttled" => throttling_cause(lacks, lacks.contains("Role")),
         _ => format!("failed after {}", endings.last().unwrap_or(&"nothing")),
@@ -76,7 +74,7 @@
     let tried = endings.iter().rev().nth(1).filter(|_| course.sent.len() > 1);
     match tried {
         Some(ending) => format!("late: tried again after {ending}"),
-        None if last.at.saturating_sub(course.at) > course.target / 2 => "late: held for long".into(),
+        None if last.at.saturating_sub(course.at) > course.target / 2 => "late: held too long".into(),
         None if last.primary && last.cold => "late: a cold primary was slow".into(),
         None if last.primary => "late: a primary was slow".into(),
         None if last.cold => "late: a cold replica was slow".into(),
@@ -99,12 +97,14 @@
     let has = |part: &str| words.iter().any(|word| word.ends_with(part));
     let warm = |part: &str| words.contains(&part);
     let nearest = match () {
-        () if has("Nothing") => "a member lacked nothing any more",
-        () if warm("Room") => "warm replicas were full",
-        () if has("cold:Room") => "cold members were full",
-        () if has("Warmth") && has("Freshness") => "cold replicas at their bound, others too far behind",
-        () if has("Warmth") => "cold members at their bound",
-        () if has("primary:Room") => "the primary was full, replicas of no use",
+        () if has("Nothing") => "a member qualified again",
+        () if warm("Room") => "warm replicas at their limit",
+        () if has("cold:Room") => "cold members at their limit",
+        () if has("Warmth") && has("Freshness") => {
+            "cold replicas at their slow-start limit, others too far behind"
+        }
+        () if has("Warmth") => "cold members at their slow-start limit",
+        () if has("primary:Room") => "primary at its limit, no replica qualified",
         () if has("Freshness") => "replicas too far behind",
         () => "members down or silent",
     };
@@ -321,7 +321,7 @@
             ),
             (
                 vec![sent(1, 300, false), ended(1, 0, "Answered"), over(1, 900, "answered", "")],
-                "late: held for long",
+                "late: held too long",
             ),
             (
                 vec![
@@ -340,17 +340,17 @@
             (vec![over(1, 9, "throttled", "Role")], "throttled: no primary known"),
             (
                 vec![sent(1, 1, false), ended(1, 0, "TimedOut"), over(1, 9, "throttled", "Nothing")],
-                "throttled: a server had it until its time was over",
+                "throttled: timed out at a server",
             ),
             (
                 vec![over(1, 9, "throttled", "Freshness cold:Warmth primary:Room")],
-                "throttled: cold replicas at their bound, others too far behind",
+                "throttled: cold replicas at their slow-start limit, others too far behind",
             ),
-            (vec![over(1, 9, "throttled", "Room primary:Room")], "throttled: warm replicas were full"),
+            (vec![over(1, 9, "throttled", "Room primary:Room")], "throttled: warm replicas at their limit"),
             (vec![sent(1, 1, true), ended(1, 0, "Reset"), over(1, 9, "failed", "")], "failed after Reset"),
             (
                 vec![sent(1, 1, true), over(1, 9, "left", ""), ended(1, 0, "Recalled")],
-                "its client left: it was held",
+                "client left while the command was held",
             ),
             (vec![sent(1, 1, true)], "cut off: its gateway ended"),
         ];
--- a/crates/cli/src/council.rs
+++ b/crates/cli/src/council.rs
@@ -168,10 +168,10 @@
         answer["log"]["bytes"],
     );
     if answer["whole"] != true {
-        out += "  the agreed documents have not come yet\n";
+        out += "  the agreed documents have not been received yet\n";
     }
     if let Some(fault) = answer["fault"].as_str() {
-        out += &format!("  THIS SEAT HAS STOPPED: {fault}\n");
+        out += &format!("  THIS MEMBER HAS STOPPED: {fault}\n");
     }
     for one in rows("duties") {
         out += &format!(
@@ -191,14 +191,14 @@
             text(&one["from"]),
             text(&one["to"]),
             text(&one["why"]),
-            one["stop"].as_str().map_or(String::new(), |stop| format!("; to be called off: {stop}")),
+            one["stop"].as_str().map_or(String::new(), |stop| format!("; to be aborted: {stop}")),
         );
     }
     for one in rows("documents") {
         let waits = names(&one["waits_for"]);
         let binds = match (one["binds"] == true, waits.is_empty()) {
             (true, _) => "binds".to_string(),
-            (false, true) => "does not bind yet".to_string(),
+            (false, true) => "not in force yet".to_string(),
             (false, false) => format!("waits for {waits}"),
         };
         out += &format!(
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -11,7 +11,7 @@
 use clap::Args;
 use serde_json::{Value as Json, json};
 use tansyjunction_settings::{duration, whole};
-use tansyjunction_standin::{Client, Death, Discovery, Load, Reply, Shape, Store, adds_up};
+use tansyjunction_standin::{Client, Death, Discovery, Load, Reply, Store, StoreConfig, check_ledger};
 
 use crate::handover::ask;
 use crate::line::print;
@@ -61,7 +61,7 @@
     let told = stop.clone();
     ctrlc::set_handler(move || told.store(true, Ordering::SeqCst)).map_err(|error| error.to_string())?;
     let folder = tempfile::tempdir().map_err(said)?;
-    let shape = Shape { shards: SHARDS, members: MEMBERS, seed: line.seed, ..Shape::default() };
+    let shape = StoreConfig { shards: SHARDS, members: MEMBERS, seed: line.seed, ..StoreConfig::default() };
     let store = Store::start(shape).map_err(said)?;
     let discovery = Discovery::start(&store).map_err(said)?;
     let gateways = (0..GATEWAYS).map(|number| start(number, discovery.address, folder.path()));
@@ -91,7 +91,8 @@
     });
     let asked = load.stop();
     drop(gateways);
-    let sum = adds_up(&store, &asked).map_err(|message| format!("the ledger does not add up: {message}"))?;
+    let sum =
+        check_ledger(&store, &asked).map_err(|message| format!("the ledger does not add up: {message}"))?;
     let longest = asked.iter().map(|one| one.took).max().unwrap_or_default();
     let rows = store.ledger().len();
     print(&format!(
@@ -137,10 +138,10 @@
         tell(format!("shard {shard}: {from} is killed, having committed what it had; nobody leads"));
         store.kill(old, Death::AfterCommit);
         std::thread::sleep(ELECTION_TIME);
-        store.crown(shard, new);
+        store.set_primary(shard, new);
         tell(format!("shard {shard}: {to} was elected; {from} comes back as a replica"));
         std::thread::sleep(ELECTION_TIME);
-        store.back(old, false);
+        store.restart(old, false);
     } else {
         tell(format!("shard {shard}: a change from {from} to {to} is announced; writes are held"));
         let word = json!({"do": "plan", "shard": shard.to_string(), "to": to});
--- a/crates/cli/src/expect.rs
+++ b/crates/cli/src/expect.rs
@@ -127,7 +127,9 @@
         let over = over_after(bounds.time_limit);
         let written = suggest::suggest(&subject, &Bounds { runs: bounds.runs, stop: &over }, &router)?;
         if over() {
-            return Err("the time was over before all was looked at; --time-limit gives more".into());
+            return Err(
+                "the time limit was reached before everything was examined; increase --time-limit".into()
+            );
         }
         write_output(output, &written)?;
         Ok(true)
@@ -173,10 +175,12 @@
             return Ok(false);
         }
         if over() {
-            return Err("the time was over before all was searched; nothing that was found fails".into());
+            return Err(
+                "the time limit was reached before the search was complete; no failure was found".into()
+            );
         }
         if !report.holds() {
-            return Err("the bound on runs left something open; --runs gives more".into());
+            return Err("the limit on runs left something open; increase --runs".into());
         }
         Ok(true)
     }
--- a/crates/cli/src/fellows.rs
+++ b/crates/cli/src/fellows.rs
@@ -54,7 +54,7 @@
     );
     let dark = names(&answer["dark"]);
     if !dark.is_empty() {
-        out += &format!("  no gateway is heard of in zones: {dark}\n");
+        out += &format!("  no live gateway in zones: {dark}\n");
     }
     out += &format!(
         "  {:<16}{:<10}{:<10}{:<10}{:>10}  {}\n",
--- a/crates/cli/src/handover.rs
+++ b/crates/cli/src/handover.rs
@@ -69,7 +69,8 @@
     writeln!(stream, "{word}").map_err(|error| said(&error))?;
     let mut answer = String::new();
     BufReader::new(stream).read_line(&mut answer).map_err(|error| said(&error))?;
-    let answer: Json = serde_json::from_str(&answer).map_err(|_| said(&"it went away without an answer"))?;
+    let answer: Json = serde_json::from_str(&answer)
+        .map_err(|_| said(&"the gateway closed the connection without an answer"))?;
     match answer["error"].as_str() {
         Some(message) => Err(said(&message)),
         None => Ok(answer),
--- a/crates/cli/src/log.rs
+++ b/crates/cli/src/log.rs
@@ -121,7 +121,7 @@
         self.inner.write(&mut writer, event)?;
         match self.bound.take_left_out() {
             0 => writeln!(writer),
-            left_out => writeln!(writer, " ({left_out} lines left out)"),
+            left_out => writeln!(writer, " ({left_out} lines suppressed)"),
         }
     }
 }
--- a/crates/cli/src/rig.rs
+++ b/crates/cli/src/rig.rs
@@ -104,7 +104,7 @@
                 write(path, &page::html(&outcome)?)?;
             }
             print(&summary(&outcome))?;
-            if outcome.broken.is_empty() { Ok(()) } else { Err("a rule is broken".into()) }
+            if outcome.broken.is_empty() { Ok(()) } else { Err("a rule was violated".into()) }
         }
         Command::Run { seed, plans, gateways, faults, clients, out, shrink } => {
             let mut failed = 0;
@@ -128,7 +128,7 @@
                     )?;
                 }
             }
-            if failed == 0 { Ok(()) } else { Err(format!("{failed} of {plans} plans broke a rule")) }
+            if failed == 0 { Ok(()) } else { Err(format!("{failed} of {plans} plans violated a rule")) }
         }
     }
 }
--- a/crates/cli/tests/changes.rs
+++ b/crates/cli/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of primary under load: two gateways, a stand-in store, and a ledger that must add up.
+//! Changes of primary under load: two gateways, a stand-in store, and a ledger that must match all answers.
 
 mod rig;
 
@@ -6,10 +6,12 @@
 
 use rig::{Gateway, MS, discovery};
 use serde_json::json;
-use tansyjunction_standin::{Asked, Client, Death, Discovery, Load, Reply, Shape, Store, adds_up, payment};
+use tansyjunction_standin::{
+    Asked, Client, Death, Discovery, Load, Reply, Store, StoreConfig, check_ledger, payment,
+};
 
 const MEMBERS: usize = 3;
-/// A plan waits for its target for so long.
+/// Timeout for a plan's target.
 const ANNOUNCE_FOR: Duration = Duration::from_secs(5);
 
 struct Rig {
@@ -20,11 +22,11 @@
 
 impl Rig {
     fn start(shards: usize, holds: bool, seed: u64) -> Rig {
-        Rig::of(Shape { shards, seed, ..Shape::default() }, holds)
+        Rig::of(StoreConfig { shards, seed, ..StoreConfig::default() }, holds)
     }
 
-    fn of(shape: Shape, holds: bool) -> Rig {
-        let store = Store::start(Shape { members: MEMBERS, ..shape }).expect("a store");
+    fn of(shape: StoreConfig, holds: bool) -> Rig {
+        let store = Store::start(StoreConfig { members: MEMBERS, ..shape }).expect("a store");
         let discovery = discovery(&store);
         let gateways = (0..2).map(|number| Gateway::start(number, 2, discovery.address, holds)).collect();
         Rig { store, discovery, gateways }
@@ -41,7 +43,7 @@
         }
     }
 
-    /// A change as operators make one: announced to all gateways, made once all hold, and seen through.
+    /// A change as operators make one: planned at all gateways, made in the store once all hold writes, then completed.
     fn planned(&self, shard: usize, gap: Duration, holds: bool) {
         let to = self.store.follower(shard).expect("a follower");
         if holds {
@@ -60,21 +62,21 @@
         self.discovery.leads(to, MEMBERS);
     }
 
-    /// The primary dies, another is elected, the old one comes back as a replica.
+    /// The primary dies, another server is elected, and the old one returns as a replica.
     fn killed(&self, shard: usize, death: Death, gap: Duration) {
         let old = self.store.leader(shard).expect("a leader");
         self.store.kill(old, death);
         std::thread::sleep(gap);
         let new = self.store.follower(shard).expect("a follower");
-        self.store.crown(shard, new);
+        self.store.set_primary(shard, new);
         std::thread::sleep(150 * MS);
-        self.store.back(old, false);
+        self.store.restart(old, false);
         self.discovery.leads(new, MEMBERS);
         std::thread::sleep(150 * MS);
     }
 }
 
-/// Figures of one run, for its line of output.
+/// Results of a run for its line of output.
 #[allow(dead_code)]
 #[derive(Debug)]
 struct Told {
@@ -88,8 +90,8 @@
 }
 
 fn told(rig: &Rig, asked: &[Asked]) -> Told {
-    let tansyjunction_standin::Sum { throttled, failed, .. } =
-        adds_up(&rig.store, asked).expect("it adds up");
+    let tansyjunction_standin::AnswerCounts { throttled, failed, .. } =
+        check_ledger(&rig.store, asked).expect("it adds up");
     let prompt = |one: &&Asked| matches!(one.reply, Reply::Value(_)) && one.took <= Duration::from_secs(1);
     let in_time = asked.iter().filter(prompt).count() as f64 / asked.len() as f64;
     let mut gaps = rig.store.gaps();
@@ -100,7 +102,7 @@
     Told { asked: asked.len(), in_time, throttled, failed, longest, gap, worst_gap }
 }
 
-/// `rounds` changes of each of four shards, all shards at once.
+/// Makes `rounds` changes of each of four shards, all shards at once.
 fn changes(rounds: usize, planned: bool, holds: bool) -> Told {
     const SHARDS: usize = 4;
     let rig = Rig::start(SHARDS, holds, 11);
@@ -147,7 +149,7 @@
     let rounds: usize = std::env::var("CHANGES").ok().and_then(|n| n.parse().ok()).unwrap_or(25);
     for planned in [true, false] {
         for holds in [true, false] {
-            // The build without holds is the one before this: a fifth of the changes is enough to compare.
+            // Without holding, a fifth of the changes is enough for the comparison.
             let rounds = if holds { rounds } else { rounds.div_ceil(5) };
             let began = Instant::now();
             let told = changes(rounds, planned, holds);
@@ -164,21 +166,21 @@
 
 #[test]
 fn a_write_that_committed_as_its_primary_died_is_answered_once_by_its_key() {
-    // A write is in its server for longer than a busy machine takes to see it there.
-    let rig = Rig::of(Shape { shards: 1, seed: 3, work: 300 * MS, ..Shape::default() }, true);
+    // A write takes longer than a busy machine needs to observe it in the server.
+    let rig = Rig::of(StoreConfig { shards: 1, seed: 3, work: 300 * MS, ..StoreConfig::default() }, true);
     let mut client = Client::connect(rig.gateways[0].address, Duration::from_secs(4)).expect("it connects");
     for round in 0..6 {
         let old = rig.store.leader(0).expect("a leader");
         let key = format!("c{round}");
         let asked = std::thread::scope(|scope| {
             let asked = scope.spawn(|| client.ask(&payment(&key, 0)));
-            // The write is in the server when it dies, having committed it.
+            // The server dies with the write, having committed it.
             rig.gateways[0].wait_until("the write is out", || rig.gateways[0].shard(0)["out"] == 1);
             rig.store.kill(old, Death::AfterCommit);
             std::thread::sleep(200 * MS);
             let new = rig.store.follower(0).expect("a follower");
-            rig.store.crown(0, new);
-            rig.store.back(old, false);
+            rig.store.set_primary(0, new);
+            rig.store.restart(old, false);
             asked.join().expect("an answer")
         });
         let rows = rig.store.ledger().iter().filter(|row| row.key == key).count();
@@ -211,7 +213,7 @@
         let answer = gateway.control(line);
         assert!(answer.contains(part), "{line}: {answer}");
     }
-    // Half a line, and a client that goes away, cost nothing.
+    // An incomplete request, and a client that leaves, have no effect.
     drop(std::os::unix::net::UnixStream::connect(&gateway.control).map(|mut stream| {
         use std::io::Write;
         let _ = stream.write_all(br#"{"do":"pla"#);
@@ -223,7 +225,7 @@
         there.permissions().mode() & 0o777
     });
     assert_eq!(mode.expect("the socket"), 0o600);
-    // Held by a plan, by a pause; let go by an abort, by a resume. Another shard is never kept waiting.
+    // Writes are held by a plan and by a pause, and released by an abort and by a resume; other shards are unaffected.
     for (hold, release) in [
         (json!({"do": "plan", "shard": "0", "to": "s1"}), json!({"do": "abort", "shard": "0"})),
         (json!({"do": "pause", "shard": "0"}), json!({"do": "resume", "shard": "0"})),
@@ -240,7 +242,7 @@
             gateway.wait_until("it is held", || gateway.shard(0)["held"] == 1);
             let mut other = Client::connect(gateway.address, Duration::from_secs(4)).expect("it connects");
             assert!(matches!(other.ask(&payment(&format!("{key}-other"), 1)), Reply::Value(_)));
-            // It was answered while the other shard is held as before.
+            // It is answered while the other shard's writes are held.
             assert_eq!(gateway.shard(0)["held"], 1);
             assert_eq!(gateway.say(release.clone()), json!({"ok": true}));
             asked.join().expect("an answer")
@@ -248,7 +250,7 @@
         assert!(matches!(answer, Reply::Value(_)), "{answer:?}: {}", gateway.log());
         assert_eq!(gateway.shard(0)["held"], 0);
     }
-    // A client that leaves while it is held leaves nothing behind.
+    // A client that leaves while its write is held leaves no state behind.
     gateway.say(json!({"do": "pause", "shard": "0"}));
     let leaving = std::thread::spawn({
         let address = gateway.address;
@@ -284,14 +286,13 @@
     let control = rig.gateways[0].control.clone();
     assert!(rig.gateways[0].ended());
     assert!(!control.exists());
-    // One that starts in the middle of a change comes up safe.
+    // A gateway that starts during a change is safe.
     let started = Gateway::start(0, 2, rig.discovery.address, true);
     let mut client = Client::connect(started.address, Duration::from_secs(4)).expect("it connects");
     assert!(matches!(client.ask(&payment("t2", 0)), Reply::Value(_)), "{}", started.log());
 }
 
-/// Guards against a held write whose client waits for longer than the process lasts, and would never be
-/// answered.
+/// A held write whose client waits for longer than the process lasts must be answered nonetheless.
 #[test]
 fn after_sigterm_what_is_held_is_answered_before_the_end() {
     let mut rig = Rig::start(1, true, 21);
@@ -309,7 +310,7 @@
     assert!(rig.store.ledger().iter().all(|row| row.key != "l1"));
 }
 
-/// The primary hangs, another is elected, the old one comes back and takes itself for the primary still, and the list
+/// The primary hangs, another one is elected, and the old one returns still considering itself primary, while the list
 /// names it for four seconds.
 #[test]
 fn a_hung_primary_that_comes_back_as_it_was_gets_nothing() {
@@ -328,13 +329,13 @@
     println!("hung, then back as it was: {told:?}");
     let old = rig.store.ledger().iter().filter(|row| row.server == 0).map(|row| row.at).max();
     assert!(old.is_none_or(|at| at < zero + 1_500 * MS), "{old:?}: {}", rig.gateways[0].log());
-    // Those that were in the hung server when it stopped can't be told any better than at the end of their window.
+    // The result of writes in the hung server is not known before the end of their window.
     let answered = asked.iter().filter(|one| matches!(one.reply, Reply::Value(_))).count();
     assert!(answered * 100 >= asked.len() * 90, "{told:?}: {}", rig.gateways[0].log());
 }
 
-/// A payment that is in a primary which hangs, and which is replaced so long after. The window of 2 s is the promise:
-/// what is late within it, for the machine's sake, is played again, and what is replaced beyond it is so by the
+/// A payment in progress at a primary that hangs and is replaced after the given time. The guarantee is the window of
+/// 2 s: a run that is late within it because of the machine is repeated; a replacement beyond it is so by the
 /// machine's clock.
 #[test]
 fn in_doubt_a_payment_goes_on_within_its_window_and_fails_beyond_it() {
@@ -344,7 +345,7 @@
     assert!(!in_doubt(2_300 * MS), "it goes on beyond its window");
 }
 
-/// Whether it was answered; if not it has failed, and in either case the ledger has it once or not at all.
+/// Whether it was answered; if not, it failed, and in either case the ledger has it at most once.
 fn in_doubt(replaced_after: Duration) -> bool {
     let rig = Rig::start(1, true, 17);
     let gateway = &rig.gateways[0];
@@ -358,7 +359,7 @@
         gateway.wait_until("the write is out", || gateway.shard(0)["out"] == 1);
         let began = Instant::now();
         std::thread::sleep(replaced_after);
-        rig.store.crown(0, 1);
+        rig.store.set_primary(0, 1);
         (asked.join().expect("an answer"), began.elapsed())
     });
     let rows = rig.store.ledger().iter().filter(|row| row.key == "d1").count();
@@ -366,12 +367,12 @@
     let answered = matches!(answer, Reply::Value(_));
     assert!(answered || answer == Reply::Error("58000".into(), None), "{answer:?}: {}", gateway.log());
     assert_eq!(rows, usize::from(answered), "{answer:?}: {}", gateway.log());
-    // Failed at the end of the window, not of its client's time.
+    // Failed at the end of the window, not at the client timeout.
     assert!(took < Duration::from_millis(3_000), "{took:?}");
     answered
 }
 
-/// A planned change whose target dies, and one whose old primary dies, while writes are held.
+/// Planned changes whose target, and whose old primary, dies while writes are held.
 #[test]
 fn a_planned_change_that_turns_unplanned_loses_nothing() {
     let rig = Rig::start(2, true, 19);
@@ -389,7 +390,7 @@
             rig.store.kill(dies, Death::Before);
             if let Some(leads) = leads {
                 std::thread::sleep(300 * MS);
-                rig.store.crown(shard, leads);
+                rig.store.set_primary(shard, leads);
             }
             asked.join().expect("an answer")
         });
@@ -400,7 +401,7 @@
     }
 }
 
-/// Reads follow the replicas that are fresh; a plan whose target lags takes itself back and holds nothing.
+/// Reads go to fresh replicas; a plan whose target lags is aborted without holding writes.
 #[test]
 fn a_target_that_lags_is_not_waited_for_and_reads_go_elsewhere() {
     let rig = Rig::start(1, true, 23);
@@ -413,7 +414,7 @@
     for id in 0..20 {
         assert!(matches!(client.ask(&read(id)), Reply::Value(_)), "{}", gateway.log());
     }
-    // The newest commit lies beyond where the target stands.
+    // The newest commit is beyond the target's position.
     std::thread::sleep(1_200 * MS);
     assert!(matches!(client.ask(&payment("l1", 0)), Reply::Value(_)));
     let planned = Instant::now();
@@ -422,7 +423,7 @@
         client.ask(&read(id));
         gateway.say(json!({"do": "plan", "shard": "0", "to": "s1"}))["ok"] == true
     });
-    // Writes are answered while the plan waits: those that waited for its end would find it steady again, or be
+    // Writes are answered while the plan waits for its target; at its end they might find it steady again, or be
     // throttled.
     for round in 0..10 {
         assert!(matches!(client.ask(&payment(&format!("m{round}"), 0)), Reply::Value(_)));
--- a/crates/cli/tests/discovering.rs
+++ b/crates/cli/tests/discovering.rs
@@ -1,5 +1,5 @@
-//! What discovery has is known in time, whatever call on it failed before: the program on sockets beside a discovery
-//! that is slow, breaks off, spoils its lists or can't be reached. Traffic goes on meanwhile.
+//! Changes in discovery are known in time, whatever request failed before: the program on sockets with a discovery
+//! that is slow, breaks off, sends invalid lists or is unreachable, under traffic.
 
 #[path = "rig/agent.rs"]
 mod agent;
@@ -14,22 +14,22 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_tansyjunction");
 const MS: Duration = Duration::from_millis(1);
-/// What discovery has counts as told so long after it can be reached; and so long after SIGHUP.
+/// Time after which reachable changes in discovery count as notified; and after SIGHUP.
 const COUNTS: Duration = Duration::from_secs(6);
 const SIGHUP_COUNTS: Duration = Duration::from_secs(4);
-/// Servers that drain may be sent to for so long.
+/// Time for which draining servers may still get commands.
 const DRAINS: Duration = Duration::from_secs(1);
-/// A restarted process is ready by then.
+/// Time for a restarted process to be ready.
 const READY: Duration = Duration::from_secs(10);
-/// Between two bytes of a discovery that is slow by the byte: no silence, and no list within a minute.
+/// Pause between two bytes of a slow discovery: neither a silence, nor a complete list within a minute.
 const DRIPS: Spoils = Spoils::Drips(Duration::from_millis(250));
 
 fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.3:0").and_then(|l| l.local_addr()).expect("a free port")
 }
 
-/// All that is said is spoilt for a while, on the open watch too; then new calls are answered well. Calls of before
-/// stay as they were: what began to drip drips on.
+/// Everything is invalid for a while, also on the open watch; then new requests are answered correctly. Earlier
+/// requests remain as they were: a slow answer stays slow.
 fn known_once_it_is_well(spoils: Spoils, lasts: Duration, bound: Duration) {
     let rig = Rig::new();
     let agent = rig.agent();
@@ -45,19 +45,19 @@
     assert!(last < bound, "{spoils:?} for {lasts:?}: {last:?}");
 }
 
-/// Guards against bytes taken for a sign of life: here the watch drips, ...
+/// Single bytes are no sign of life: here the watch is slow, ...
 #[test]
 fn a_watch_that_is_slow_by_the_byte_is_given_up() {
     known_once_it_is_well(DRIPS, 300 * MS, COUNTS);
 }
 
-/// ... and here the watch did, and now the whole list that was asked for instead.
+/// ... and here the whole list requested after a slow watch.
 #[test]
 fn a_whole_list_that_is_slow_by_the_byte_is_given_up() {
     known_once_it_is_well(DRIPS, 6_000 * MS, COUNTS);
 }
 
-/// A silence that is followed by a list slow by the byte is one that counts from its beginning.
+/// A silence followed by a slow list counts from its beginning.
 #[test]
 fn a_list_that_drips_after_a_silence_is_given_up_in_time() {
     let rig = Rig::new();
@@ -70,8 +70,8 @@
     agent.spoils(Some(DRIPS));
     scope(|scope| {
         scope.spawn(|| {
-            // Only the first call drips.
-            until("a call", || agent.connections() > connections);
+            // Only the first request is slow.
+            wait_until("a call", || agent.connections() > connections);
             sleep(200 * MS);
             agent.spoils(None);
         });
@@ -80,7 +80,7 @@
     });
 }
 
-/// A reset is no end, and an end within a list is none either.
+/// Neither a reset nor an end within a list completes it.
 #[test]
 fn lists_that_break_off_are_not_taken_and_are_asked_for_again() {
     scope(|scope| {
@@ -99,7 +99,7 @@
     });
 }
 
-/// Guards against a watch that is opened again and again from the version before a line that can't be read.
+/// A watch must not be reopened repeatedly from the version before an invalid line.
 #[test]
 fn after_a_line_that_cannot_be_read_the_whole_list_is_asked_for() {
     let rig = Rig::new();
@@ -110,12 +110,12 @@
     agent.has_and_spoils(rig.entries("draining"), Spoils::MalformedWatch);
     let last = rig.last_read_at_the_replica(&gateway, since, DRAINS);
     assert!(last < DRAINS, "{last:?}");
-    // Two calls each time, at the longest pause after a few.
+    // Two requests each time, and the longest pause after a few.
     let calls = agent.connections() - connections;
     assert!(calls < 20, "{calls} calls in {:?}", since.elapsed());
 }
 
-/// Guards against a watch that never leaves the thread to the others.
+/// A watch must not monopolise the thread.
 #[test]
 fn a_flood_of_lists_does_not_keep_the_traffic() {
     let rig = Rig::new();
@@ -129,7 +129,7 @@
     assert!(last < COUNTS, "{last:?}");
 }
 
-/// Guards against an agent that numbers anew and is not heard as long as its watch lives.
+/// A discovery that restarts its numbering must be heard while its watch lasts.
 #[test]
 fn lists_numbered_anew_from_below_are_heard() {
     let rig = Rig::new();
@@ -140,16 +140,16 @@
     agent.numbers_anew(rig.entries("draining"));
     let last = rig.last_read_at_the_replica(&gateway, since, DRAINS);
     assert!(last < DRAINS, "{last:?}");
-    // The watch goes on from the new numbers.
+    // The watch continues with the new numbers.
     let connections = agent.connections();
     agent.has(rig.entries("up"));
     let before = rig.replica.asked().len();
-    until("a read at the replica", || rig.reads_for(&gateway, 20 * MS) > 0);
+    wait_until("a read at the replica", || rig.reads_for(&gateway, 20 * MS) > 0);
     assert!(rig.replica.asked().len() > before);
     assert_eq!(agent.connections(), connections, "the watch was opened anew");
 }
 
-/// Guards against an entry that can't be read and hides the others; its own server stays as it was.
+/// An invalid entry must not hide the others; its own server keeps its state.
 #[test]
 fn one_entry_that_cannot_be_read_hides_no_other() {
     let rig = Rig::new();
@@ -175,7 +175,7 @@
     assert_eq!(agent.connections(), connections, "the watch was opened anew");
 }
 
-/// The pauses between tries stay short: within a second after the return all is known.
+/// Pauses between attempts stay short: everything is known within a second after the return.
 #[test]
 fn a_discovery_that_refused_is_known_soon_after_its_return() {
     let rig = Rig::new();
@@ -190,7 +190,7 @@
     assert!(last < DRAINS, "{last:?}");
 }
 
-/// A connection that does not come up is given up, and tried again: here the agent's queue is full.
+/// A connection that does not come up is abandoned and retried: the listen queue of discovery is full.
 #[test]
 fn a_connection_that_does_not_come_up_is_tried_again() {
     let rig = Rig::new();
@@ -207,8 +207,8 @@
     assert!(last < COUNTS, "{last:?}");
 }
 
-/// Guards against bounds so short that an agent which is slow and lives is never heard: its list takes three and a half
-/// seconds, which the first ask is not given.
+/// A slow discovery must be heard nonetheless: its list takes three and a half seconds, longer than the first request
+/// waits.
 #[test]
 fn a_list_that_comes_slowly_is_heard_at_the_second_ask() {
     let rig = Rig::new();
@@ -220,11 +220,11 @@
     agent.has_and_ends_all(rig.entries("draining"));
     let last = rig.last_read_at_the_replica(&gateway, Instant::now(), 7_500 * MS);
     assert!(last > 500 * MS && last < 7_500 * MS, "{last:?}");
-    // Two asks, and the watch.
+    // Two requests, and the watch.
     assert_eq!(agent.connections(), connections + 3);
 }
 
-/// SIGHUP, whatever the old address is at, while the new one does not answer its first two calls.
+/// SIGHUP in any state of the old discovery, while the new one does not answer its first two requests.
 #[test]
 fn sighup_is_followed_in_time_whatever_went_before() {
     type Turns = fn(&Agent) -> Vec<TcpStream>;
@@ -273,7 +273,7 @@
     });
 }
 
-/// Guards against a new address that drips: after SIGHUP there is less time for it.
+/// A new discovery that is slow: after SIGHUP there is less time.
 #[test]
 fn after_sighup_a_discovery_that_is_slow_by_the_byte_is_given_up_in_time() {
     let rig = Rig::new();
@@ -282,14 +282,14 @@
     another.spoils(Some(DRIPS));
     let since = Instant::now();
     gateway.reload(&another.address.to_string());
-    until("a call", || another.connections() > 0);
+    wait_until("a call", || another.connections() > 0);
     sleep(200 * MS);
     another.spoils(None);
     let last = rig.last_read_at_the_replica(&gateway, since, SIGHUP_COUNTS);
     assert!(last > 500 * MS && last < SIGHUP_COUNTS, "{last:?}");
 }
 
-/// Guards against a watch at the same address that has fallen silent, and two calls after it as well.
+/// A watch at the same address that has fallen silent, and two silent requests after it.
 #[test]
 fn sighup_with_the_same_address_asks_it_anew() {
     let rig = Rig::new();
@@ -304,7 +304,7 @@
     assert!(last < 2_000 * MS, "{last:?}");
 }
 
-/// Twice in a row, to an address where nobody is, and back.
+/// Two SIGHUPs: to an address without a listener, and back.
 #[test]
 fn sighup_there_and_back_again_is_followed() {
     scope(|scope| {
@@ -327,7 +327,7 @@
     });
 }
 
-/// What the old address tells after SIGHUP is not taken; a faulty configuration changes nothing.
+/// Lists of the old discovery after SIGHUP are ignored; an invalid configuration changes nothing.
 #[test]
 fn after_sighup_only_the_address_in_force_is_heard() {
     let rig = Rig::new();
@@ -340,7 +340,7 @@
     assert_eq!(agent.connections(), connections, "a faulty configuration was taken");
     another.says_nothing(true);
     gateway.reload(&another.address.to_string());
-    until("a call at the new address", || another.connections() > 0);
+    wait_until("a call at the new address", || another.connections() > 0);
     agent.has(rig.entries("draining"));
     rig.reads_for(&gateway, 1_000 * MS);
     assert!(rig.reads_for(&gateway, 500 * MS) > 0, "the old address was heard");
@@ -351,15 +351,15 @@
     assert!(last < DRAINS, "{last:?}");
 }
 
-/// SIGHUP before the first list: what the new address has is the first.
+/// SIGHUP before the first list: the list of the new discovery is the first.
 #[test]
 fn sighup_before_the_first_list_is_followed() {
     let rig = Rig::new();
     let (agent, another) = (rig.agent(), Agent::start(rig.entries("draining")));
     agent.says_nothing(true);
     let gateway = Gateway::launch(PROGRAM, agent.address, 64, "null");
-    until("the listener", || TcpStream::connect(gateway.address).is_ok());
-    until("a call", || agent.connections() > 0);
+    wait_until("the listener", || TcpStream::connect(gateway.address).is_ok());
+    wait_until("a call", || agent.connections() > 0);
     let since = Instant::now();
     gateway.reload(&another.address.to_string());
     gateway.wait_ready();
@@ -368,8 +368,8 @@
     assert!(rig.replica.asked().is_empty(), "sent by a list that was not there");
 }
 
-/// Restarted processes are ready in time beside a discovery that is late, silent or refuses at first, or tells a
-/// wrong list.
+/// Restarted processes are ready in time with a discovery that is late, silent or refusing at first, or sends a wrong
+/// list.
 #[test]
 fn restarted_processes_are_ready_in_time() {
     type Starts = fn(&Rig) -> Agent;
@@ -410,8 +410,8 @@
                     agent.refuses(false);
                 }
                 for gateway in &gateways {
-                    until("an answer to an empty query", || {
-                        let client = Client::connect(gateway.address, BOUND);
+                    wait_until("an answer to an empty query", || {
+                        let client = Client::connect(gateway.address, WAIT_TIMEOUT);
                         client.is_ok_and(|mut client| client.ask("") == Reply::Empty)
                     });
                 }
--- a/crates/cli/tests/duties.rs
+++ b/crates/cli/tests/duties.rs
@@ -1,13 +1,13 @@
-//! Several processes of the program with faults between them: what agreed documents and duties promise. The verdicts
-//! are the rig's, from the logs of all and the store's record; each test adds what its own failure must lead to.
+//! Guarantees of agreed documents and duties with several processes and injected faults. The rig checks the rules by
+//! all logs and the store's record; each test adds what its fault must lead to.
 
 use std::path::Path;
 use std::time::Duration;
 
 use serde_json::json;
-use tansyjunction_rig::duties::Line;
-use tansyjunction_rig::{Council, Ground, Plan, Played, What};
-use tansyjunction_standin::{End, Waits};
+use tansyjunction_rig::duties::LogLine;
+use tansyjunction_rig::{Council, FaultKind, Plan, Scenario, ScenarioResult};
+use tansyjunction_standin::{HoldPoint, SwitchResult};
 
 const MS: Duration = Duration::from_millis(1);
 const DUTY: &str = "conductor/0";
@@ -16,54 +16,59 @@
     Plan { gateways: 5, council: Some(council), ..Plan::default() }
 }
 
-/// Plays `steps` on gateways that have agreed, then undoes all faults and has the rig judge.
-fn play(plan: &Plan, steps: impl FnOnce(&mut Ground) -> Result<(), String>) -> Played {
-    let mut ground = Ground::start(Path::new(env!("CARGO_BIN_EXE_tansyjunction")), plan).expect("they agree");
+/// Runs `steps` on gateways that have agreed, then ends all faults and checks the rules.
+fn play(plan: &Plan, steps: impl FnOnce(&mut Scenario) -> Result<(), String>) -> ScenarioResult {
+    let mut ground =
+        Scenario::start(Path::new(env!("CARGO_BIN_EXE_tansyjunction")), plan).expect("they agree");
     if let Err(message) = steps(&mut ground) {
-        panic!("{message}\n{}", ground.told());
+        panic!("{message}\n{}", ground.describe());
     }
     let played = ground.finish().expect("the rig works");
     assert_eq!(played.broken, Vec::<String>::new());
     played
 }
 
-/// The store's ends of the statements, by their epochs.
-fn ends(ground: &Ground) -> Vec<(u64, End)> {
+/// Results of the store's switch statements by epoch.
+fn ends(ground: &Scenario) -> Vec<(u64, SwitchResult)> {
     ground.store.ordered().iter().map(|one| (one.epoch, one.end)).collect()
 }
 
-/// A change of shard 0 to s1 whose holder has told the store, which keeps the statement: the holder and its epoch.
-fn in_the_middle(ground: &mut Ground, at: Waits) -> Result<(usize, u64), String> {
-    ground.store.keep_switches(at);
+/// Starts a change of shard 0 to s1 whose holder has told the store, which holds the statement; returns holder and
+/// epoch.
+fn in_the_middle(ground: &mut Scenario, at: HoldPoint) -> Result<(usize, u64), String> {
+    ground.store.hold_switches(at);
     ground.announce(1, 0, 1)?;
     let epoch = ground.until("the store is told", |ground| {
         let told = ground.store.ordered().first().cloned()?;
-        (at == Waits::Before || told.end == End::Done).then_some(told.epoch)
+        (at == HoldPoint::Before || told.end == SwitchResult::Done).then_some(told.epoch)
     })?;
     let holder = ground.holder(DUTY).ok_or("nobody holds it")?;
     if holder.1 == epoch { Ok(holder) } else { Err(format!("{holder:?} is not of epoch {epoch}")) }
 }
 
-/// Waits until a later epoch than this is held, and by whom.
-fn next_holder(ground: &Ground, after: u64) -> Result<(usize, u64), String> {
+/// Waits until a later epoch is held; returns the holder.
+fn next_holder(ground: &Scenario, after: u64) -> Result<(usize, u64), String> {
     ground.until("another holds it", |ground| ground.holder(DUTY).filter(|(_, epoch)| *epoch > after))
 }
 
-fn done_by(ground: &Ground, epoch: u64) -> Result<(), String> {
+fn done_by(ground: &Scenario, epoch: u64) -> Result<(), String> {
     ground.until("the store has switched", |ground| {
-        ends(ground).iter().any(|one| one.0 >= epoch && matches!(one.1, End::Done | End::Again)).then_some(())
+        ends(ground)
+            .iter()
+            .any(|one| one.0 >= epoch && matches!(one.1, SwitchResult::Done | SwitchResult::Again))
+            .then_some(())
     })
 }
 
-fn said<'a>(played: &'a Played, by: usize, what: &'a str) -> impl Iterator<Item = &'a Line> {
+fn said<'a>(played: &'a ScenarioResult, by: usize, what: &'a str) -> impl Iterator<Item = &'a LogLine> {
     played.history.lines.iter().filter(move |line| line.by == by && line.what == what && line.duty == DUTY)
 }
 
-/// Has this seat lead the council: whoever else leads stands still until the others have elected one. Chance decides
-/// which of the two it is, so that it takes as many rounds as it takes.
-fn have_lead(ground: &Ground, seat: usize) -> Result<(), String> {
+/// Makes this gateway the leader: pauses other leaders until the others have elected one. Which of the two is random,
+/// so this repeats as often as necessary.
+fn have_lead(ground: &Scenario, seat: usize) -> Result<(), String> {
     for _ in 0..40 {
-        let leader = ground.until("one leads", Ground::leader)?;
+        let leader = ground.until("one leads", Scenario::leader)?;
         if leader == seat {
             return Ok(());
         }
@@ -75,12 +80,12 @@
     Err(format!("n{seat} is never elected"))
 }
 
-/// The holder, which leads the council as well, in the middle of its statement, is cut off by `cut`. Another holds
-/// the duty and does it; the old statement is let go then, and must find itself overtaken.
-fn cut_off(cut: impl Fn(&mut Ground, usize)) -> Played {
+/// Cuts off the holder, which is the leader as well, in the middle of its statement. Another one takes over and
+/// completes; then the old statement is released and must be rejected.
+fn cut_off(cut: impl Fn(&mut Scenario, usize)) -> ScenarioResult {
     play(&plan(Council::default()), |ground| {
         have_lead(ground, 0)?;
-        let (holder, epoch) = in_the_middle(ground, Waits::Before)?;
+        let (holder, epoch) = in_the_middle(ground, HoldPoint::Before)?;
         have_lead(ground, holder)?;
         cut(ground, holder);
         let (next, later) = next_holder(ground, epoch)?;
@@ -88,11 +93,11 @@
             return Err(format!("n{holder} holds it again, though it is cut off"));
         }
         done_by(ground, later)?;
-        ground.store.let_switches_go();
+        ground.store.release_switches();
         ground.until("the old statement has ended", |ground| {
-            ends(ground).iter().all(|(_, end)| *end != End::Open).then_some(())
+            ends(ground).iter().all(|(_, end)| *end != SwitchResult::Open).then_some(())
         })?;
-        match ends(ground).contains(&(epoch, End::Fenced)) {
+        match ends(ground).contains(&(epoch, SwitchResult::Fenced)) {
             true => Ok(()),
             false => Err(format!("{:?}", ends(ground))),
         }
@@ -101,21 +106,21 @@
 
 #[test]
 fn a_leader_and_holder_that_nobody_hears_is_replaced_and_its_statement_refused() {
-    cut_off(|ground, holder| ground.mute(holder));
+    cut_off(|ground, holder| ground.drop_outgoing(holder));
 }
 
 #[test]
 fn a_leader_and_holder_that_hears_nobody_is_replaced_and_its_statement_refused() {
-    cut_off(|ground, holder| ground.deafen(holder));
+    cut_off(|ground, holder| ground.drop_incoming(holder));
 }
 
 #[test]
 fn a_leader_and_holder_that_is_cut_off_both_ways_decides_nothing_meanwhile() {
     play(&plan(Council::default()), |ground| {
         have_lead(ground, 0)?;
-        let (holder, epoch) = in_the_middle(ground, Waits::Before)?;
-        ground.mute(holder);
-        ground.deafen(holder);
+        let (holder, epoch) = in_the_middle(ground, HoldPoint::Before)?;
+        ground.drop_outgoing(holder);
+        ground.drop_incoming(holder);
         let alone = ground.propose(holder, "alone", 0, &json!("nobody else hears this"));
         let (_, later) = next_holder(ground, epoch)?;
         ground.agree((holder + 1) % 3, "together", 0, &json!("two of three"))?;
@@ -124,25 +129,25 @@
     });
 }
 
-/// The holder stands still in the middle of its statement, which the store keeps; once the next one has done it, and
-/// after so long at least, the statement goes on and the holder wakes.
-fn paused_in_the_middle(for_so_long: Duration) -> Played {
+/// The holder is paused in the middle of its statement, which the store holds; once the next one has completed, and
+/// after the given time, the statement is released and the holder resumes.
+fn paused_in_the_middle(for_so_long: Duration) -> ScenarioResult {
     let mut old = (0, 0);
     let played = play(&plan(Council::default()), |ground| {
-        old = in_the_middle(ground, Waits::Before)?;
+        old = in_the_middle(ground, HoldPoint::Before)?;
         ground.fleet.pause(old.0);
         let began = std::time::Instant::now();
         let (next, later) = next_holder(ground, old.1)?;
         done_by(ground, later)?;
         std::thread::sleep(for_so_long.saturating_sub(began.elapsed()));
-        ground.store.let_switches_go();
+        ground.store.release_switches();
         ground.fleet.go_on(old.0);
         ground.until("the old statement has ended", |ground| {
-            ends(ground).contains(&(old.1, End::Fenced)).then_some(())
+            ends(ground).contains(&(old.1, SwitchResult::Fenced)).then_some(())
         })?;
         if next == old.0 { Err(format!("n{next} held it while it stood still")) } else { Ok(()) }
     });
-    // It says itself that it had lost the duty.
+    // It reports itself that it had lost the duty.
     assert!(said(&played, old.0, "lapsed").any(|line| line.epoch == old.1));
     played
 }
@@ -158,15 +163,15 @@
     paused_in_the_middle(30_000 * MS);
 }
 
-/// Shorter than the lease: whoever holds it then, the change is made, and once.
+/// Shorter than the lease: whoever is the holder then, the change is made exactly once.
 #[test]
 fn a_holder_that_stands_still_for_less_than_its_lease_does_no_harm() {
     play(&plan(Council::default()), |ground| {
-        let (holder, epoch) = in_the_middle(ground, Waits::Before)?;
+        let (holder, epoch) = in_the_middle(ground, HoldPoint::Before)?;
         ground.fleet.pause(holder);
         std::thread::sleep(500 * MS);
         ground.fleet.go_on(holder);
-        ground.store.let_switches_go();
+        ground.store.release_switches();
         done_by(ground, epoch)
     });
 }
@@ -175,7 +180,7 @@
 fn a_holder_that_renews_and_does_nothing_loses_the_duty() {
     let mut old = (0, 0);
     let played = play(&plan(Council { stall_ms: 1_500, ..Council::default() }), |ground| {
-        old = in_the_middle(ground, Waits::Before)?;
+        old = in_the_middle(ground, HoldPoint::Before)?;
         let (next, later) = next_holder(ground, old.1)?;
         done_by(ground, later)?;
         if next == old.0 { Err(format!("n{next} stalls and was chosen again")) } else { Ok(()) }
@@ -183,32 +188,32 @@
     assert!(said(&played, old.0, "revoked").any(|line| line.epoch == old.1));
 }
 
-/// Each datagram from and to the holder takes up to 50 times as long as a beat's round trip, and its process runs a
-/// tenth of the time.
+/// Each datagram to and from the holder takes up to 50 heartbeat round trips, and its process runs a tenth of the
+/// time.
 #[test]
 fn a_holder_that_is_slow_in_all_makes_the_change_or_loses_it() {
     play(&plan(Council::default()), |ground| {
-        let (holder, epoch) = in_the_middle(ground, Waits::Before)?;
+        let (holder, epoch) = in_the_middle(ground, HoldPoint::Before)?;
         let (all, others) = (vec![holder], ground.others(holder));
         let slow = |from: &Vec<usize>, to: &Vec<usize>| {
             let (from, to) = (from.clone(), to.clone());
-            What::Bad { from, to, lost: 0.0, doubled: 0.0, delay_ms: 100 }
+            FaultKind::Bad { from, to, lost: 0.0, doubled: 0.0, delay_ms: 100 }
         };
-        ground.befall(slow(&all, &others));
-        ground.befall(slow(&others, &all));
+        ground.apply_link_fault(slow(&all, &others));
+        ground.apply_link_fault(slow(&others, &all));
         for _ in 0..40 {
             ground.fleet.pause(holder);
             std::thread::sleep(45 * MS);
             ground.fleet.go_on(holder);
             std::thread::sleep(5 * MS);
         }
-        ground.store.let_switches_go();
+        ground.store.release_switches();
         done_by(ground, epoch)
     });
 }
 
-/// Two of three seats die; nothing is decided and nobody acts, also when the lease is over. One comes back with a
-/// disk of before, which must not count; with the other's own disk it goes on.
+/// Two of three members die; nothing is decided and nobody acts, even after the lease. One returns with an old copy
+/// of its store, which must not count; with the other's own store the cluster continues.
 #[test]
 fn one_seat_of_three_and_an_old_disk_decide_nothing_and_lose_nothing() {
     play(&plan(Council::default()), |ground| {
@@ -217,7 +222,7 @@
         ground.fleet.pause(1);
         ground.keep_disk(1)?;
         ground.fleet.go_on(1);
-        let (_, epoch) = in_the_middle(ground, Waits::Before)?;
+        let (_, epoch) = in_the_middle(ground, HoldPoint::Before)?;
         for version in 1..4 {
             ground.agree(4, "limits", version, &json!(version + 1))?;
         }
@@ -233,7 +238,7 @@
         })?;
         ground.old_disk(1)?;
         ground.start_all(&[1])?;
-        // Given up after two leases, in which the two seats hear each other: time enough to decide, and to grant, if
+        // Abandoned after two leases in which the two members can communicate: enough time to decide and to grant, if
         // they could.
         let aided = ground.propose(0, "limits", 4, &json!("one of three and an old disk"));
         let holds = ground.holder(DUTY);
@@ -241,22 +246,22 @@
             return Err(format!("decided by one of three: {alone:?}, {aided:?}, {held:?}, then {holds:?}"));
         }
         ground.start_all(&[2])?;
-        // The seat sees that its disk is older than what it has vouched for, and stops: an operator sets it aside.
+        // The member notices that its store is older than its acknowledgements and stops: an operator moves it aside.
         ground.until("the old disk is found out", |ground| {
             ground.status(1).ok()?["fault"].as_str()?.contains("older copy").then_some(())
         })?;
-        // The operator comes at once, in the end: the seat that begins anew waits until its old disk is taken for gone.
-        ground.store.let_switches_go();
+        // The operator acts at once; the member that joins anew waits until its old disk counts as lost.
+        ground.store.release_switches();
         done_by(ground, epoch)
     });
 }
 
-/// Some are killed at once in the middle of a change, and started at once.
-fn restarted(who: &[usize]) -> Played {
+/// Several gateways are killed at once during a change, and restarted at once.
+fn restarted(who: &[usize]) -> ScenarioResult {
     play(&plan(Council::default()), |ground| {
         ground.load(1);
         ground.agree(3, "limits", 0, &json!(1))?;
-        let (_, epoch) = in_the_middle(ground, Waits::Before)?;
+        let (_, epoch) = in_the_middle(ground, HoldPoint::Before)?;
         ground.agree(4, "limits", 1, &json!(2))?;
         who.iter().for_each(|number| ground.fleet.kill(*number));
         ground.start_all(who)?;
@@ -268,7 +273,7 @@
 }
 
 /// Whether a gateway knows that a shard's plan is done.
-fn over(ground: &Ground, number: usize, shard: usize) -> Option<()> {
+fn over(ground: &Scenario, number: usize, shard: usize) -> Option<()> {
     (ground.step(number, shard)? == "done").then_some(())
 }
 
@@ -282,24 +287,24 @@
     restarted(&[0, 1, 2, 3, 4]);
 }
 
-/// Guards against a verdict on a gateway that is a beat behind: the seats have decided, and who has no seat hears of
-/// it when it asks next.
+/// The check must not judge a gateway that is a heartbeat behind: members have decided, and followers learn of it with
+/// their next request.
 #[test]
 fn what_is_agreed_in_the_last_moment_is_not_lost_to_those_that_hear_of_it_later() {
     play(&plan(Council::default()), |ground| {
-        ground.deafen(3);
-        ground.deafen(4);
+        ground.drop_incoming(3);
+        ground.drop_incoming(4);
         ground.agree(0, "limits", 0, &json!(1)).map(drop)
     });
 }
 
-/// All is lost, processes and disks, and another council is founded: what was acknowledged never comes again, and the
-/// verdict is that, after the rig has waited as long as it waits.
+/// Everything is lost, processes and stores, and a new cluster is created: acknowledged documents never return, and the
+/// verdict says so after the longest wait.
 #[test]
 fn what_is_lost_for_good_is_told_as_lost_by_each() {
     let plan = plan(Council::default());
     let mut ground =
-        Ground::start(Path::new(env!("CARGO_BIN_EXE_tansyjunction")), &plan).expect("they agree");
+        Scenario::start(Path::new(env!("CARGO_BIN_EXE_tansyjunction")), &plan).expect("they agree");
     ground.agree(3, "limits", 0, &json!(1)).expect("it is agreed");
     (0..plan.gateways).for_each(|number| ground.fleet.kill(number));
     (0..ground.seats()).for_each(|seat| ground.lose_disk(seat).expect("a disk"));
@@ -313,7 +318,7 @@
     assert!((0..5).all(|by| broken.contains(&lost(by))), "{broken:?}");
 }
 
-/// A seat comes back without its disk, then another one: each must have become a member anew before the next is lost.
+/// A member returns without its store, then another one: each must have joined again before the next loss.
 #[test]
 fn a_seat_without_its_disk_comes_back_as_a_new_one() {
     let played = play(&plan(Council::default()), |ground| {
@@ -345,7 +350,13 @@
 fn with_a_third_lost_throughout_both_shards_change_under_payments() {
     play(&plan(Council::default()), |ground| {
         let all: Vec<usize> = (0..5).collect();
-        ground.befall(What::Bad { from: all.clone(), to: all, lost: 0.3, doubled: 0.1, delay_ms: 10 });
+        ground.apply_link_fault(FaultKind::Bad {
+            from: all.clone(),
+            to: all,
+            lost: 0.3,
+            doubled: 0.1,
+            delay_ms: 10,
+        });
         ground.load(1);
         ground.announce(1, 0, 1)?;
         ground.announce(2, 1, 4)?;
@@ -353,8 +364,8 @@
     });
 }
 
-/// The holder is told to stop while it waits for a gateway that stands still: it names the next one before it leaves.
-/// The lease is twice what the rig waits for anything: whoever holds it next has not waited for that.
+/// The holder is stopped while it waits for a paused gateway: it names the next holder before it leaves. The lease is
+/// twice the longest wait, so the next holder has not waited for its expiry.
 #[test]
 fn a_holder_that_is_told_to_stop_hands_the_duty_on_without_waiting_for_its_lease() {
     let council = Council { lease_ms: 60_000, stall_ms: 120_000, ..Council::default() };
@@ -385,30 +396,30 @@
     Switched,
 }
 
-/// Payments are sent, and have begun to be answered.
-fn under_payments(ground: &mut Ground) -> Result<(), String> {
+/// Payments are sent, and answers have begun to arrive.
+fn under_payments(ground: &mut Scenario) -> Result<(), String> {
     ground.load(1);
     ground.until("payments are answered", |ground| (ground.served() > 20).then_some(()))
 }
 
 /// A change of primary under payments whose conductor is killed in one of its steps.
-fn dies(step: Dies) -> Played {
+fn dies(step: Dies) -> ScenarioResult {
     let plan = plan(Council::default());
     let played = play(&plan, |ground| {
         under_payments(ground)?;
         let (holder, _) = match step {
             Dies::Announced => {
-                // One that stands still keeps it from going on.
+                // A paused gateway keeps it from continuing.
                 ground.fleet.pause(4);
                 ground.announce(1, 0, 1)?;
                 ground.until("one holds it", |ground| ground.holder(DUTY))?
             }
-            Dies::Told => in_the_middle(ground, Waits::Before)?,
-            Dies::DoneUnanswered => in_the_middle(ground, Waits::After)?,
+            Dies::Told => in_the_middle(ground, HoldPoint::Before)?,
+            Dies::DoneUnanswered => in_the_middle(ground, HoldPoint::After)?,
             Dies::Switched => {
-                let held = in_the_middle(ground, Waits::Before)?;
+                let held = in_the_middle(ground, HoldPoint::Before)?;
                 ground.fleet.pause(4);
-                ground.store.let_switches_go();
+                ground.store.release_switches();
                 ground.until("it is written down", |ground| {
                     (ground.step(held.0, 0)? == "switched").then_some(())
                 })?;
@@ -448,7 +459,7 @@
     dies(Dies::Switched);
 }
 
-/// The long form: changes of primary under payments with two faults at once in each, drawn from seeds.
+/// The long form: changes of primary under payments with two faults at once in each, generated from seeds.
 #[test]
 #[ignore = "some minutes"]
 fn drawn_plans_with_two_faults_at_once_break_no_rule() {
@@ -476,20 +487,20 @@
     println!("| {name} | {median:.0} {unit} | {most:.0} {unit} | {} |", figures.len());
 }
 
-/// Figures for docs/duties.md, with the program's own lease of 2 s.
+/// Measurements for docs/duties.md, with the default lease of 2 s.
 #[test]
 #[ignore = "figures, some minutes"]
 fn figures() {
     const PLAYS: usize = 5;
     let council = Council { lease_ms: 2_000, beat_ms: 100, effect_ms: 1_000, ..Council::default() };
-    type Kind = (&'static str, fn(&mut Ground, usize));
+    type Kind = (&'static str, fn(&mut Scenario, usize));
     let kinds: [Kind; 4] = [
         ("told to stop", |ground, holder| ground.fleet.stop(holder)),
         ("killed", |ground, holder| ground.fleet.kill(holder)),
         ("renews and does nothing", |_, _| {}),
         ("cut off both ways", |ground, holder| {
-            ground.mute(holder);
-            ground.deafen(holder);
+            ground.drop_outgoing(holder);
+            ground.drop_incoming(holder);
         }),
     ];
     std::thread::scope(|scope| {
@@ -501,7 +512,7 @@
                 for _ in 0..PLAYS {
                     let (mut at, mut old) = (0, (0, 0));
                     let played = play(&plan, |ground| {
-                        old = in_the_middle(ground, Waits::Before)?;
+                        old = in_the_middle(ground, HoldPoint::Before)?;
                         at = tansyjunction_rig::mono();
                         fault(ground, old.0);
                         let (_, later) = next_holder(ground, old.1)?;
@@ -519,7 +530,7 @@
         }
     });
     for (name, step) in [("the conductor lives", None), ("the conductor is killed", Some(Dies::Told))] {
-        let share = |played: Played| 100.0 * played.in_time as f64 / played.asked as f64;
+        let share = |played: ScenarioResult| 100.0 * played.in_time as f64 / played.asked as f64;
         let lives = || {
             play(&plan(Council::default()), |ground| {
                 under_payments(ground)?;
--- a/crates/cli/tests/ending.rs
+++ b/crates/cli/tests/ending.rs
@@ -1,5 +1,5 @@
-//! What is owed where something ends: signals at any moment, time-outs that cross an answer, descriptors that
-//! run out, and clients that flood. The program on sockets.
+//! Obligations when something ends: signals at any moment, time-outs that cross an answer, exhausted descriptors, and
+//! floods of clients. The program on sockets.
 
 #[path = "rig/agent.rs"]
 mod agent;
@@ -17,21 +17,21 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_tansyjunction");
 const MS: Duration = Duration::from_millis(1);
-/// The longest client timeout of these settings is 1.5 s, and SIGKILL comes 0.7 s after it. What is well past
-/// that is told from it on a busy machine too.
+/// The longest client timeout of these settings is 1.5 s, and SIGKILL follows 0.7 s later. Larger margins are
+/// distinguishable on a busy machine too.
 const ENDS_WITHIN: Duration = Duration::from_millis(4_000);
 
-fn value() -> Does {
-    Does::Answers(b"\x9f\0\x03".to_vec())
+fn value() -> Reaction {
+    Reaction::Answers(b"\x9f\0\x03".to_vec())
 }
 
 fn served(reply: &Reply) -> bool {
     matches!(reply, Reply::Value(_))
 }
 
-/// Asks until a value comes: on a busy machine a read may be refused, which does no harm.
+/// Repeats until a value is returned: on a busy machine a read may be refused, which is harmless.
 fn gets(client: &mut Client, statement: &str) {
-    until("a value", || {
+    wait_until("a value", || {
         let reply = client.ask(statement);
         assert!(served(&reply) || reply.throttled(), "{reply:?}");
         served(&reply)
@@ -39,13 +39,16 @@
 }
 
 struct Rig {
-    primary: Server,
-    replica: Server,
+    primary: ScriptedServer,
+    replica: ScriptedServer,
 }
 
 impl Rig {
-    fn new(script: Vec<Does>) -> Rig {
-        Rig { primary: Server::start(true, script.clone()), replica: Server::start(false, script) }
+    fn new(script: Vec<Reaction>) -> Rig {
+        Rig {
+            primary: ScriptedServer::start(true, script.clone()),
+            replica: ScriptedServer::start(false, script),
+        }
     }
 
     fn entries(&self, replica: &str) -> Vec<String> {
@@ -57,7 +60,7 @@
     }
 }
 
-/// A server that does `then` once it was sent a statement, and then holds the connection without a word.
+/// A server that executes `then` after the first statement, and then keeps the connection open silently.
 fn server(then: impl Fn(&mut TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -87,19 +90,19 @@
     address
 }
 
-/// The one server of a group, a primary.
+/// The only server of a group, a primary.
 fn alone(address: SocketAddr) -> Agent {
     Agent::start(vec![entry("s1", address, "up", true)])
 }
 
 fn raw(gateway: &Gateway) -> TcpStream {
     let stream = TcpStream::connect(gateway.address).expect("the gateway listens");
-    stream.set_read_timeout(Some(BOUND)).expect("a bound");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a bound");
     stream.set_nodelay(true).expect("no delay");
     stream
 }
 
-/// A client that has sent its startup and a statement, and has read nothing yet.
+/// A client that has sent its startup and a statement, and has not read anything.
 fn sent(gateway: &Gateway, statement: &str) -> Client {
     let mut stream = raw(gateway);
     let query = message(b'Q', format!("{statement}\0").as_bytes());
@@ -107,14 +110,14 @@
     Client { stream }
 }
 
-/// Reads from a process's file in /proc what stands behind a name, in KiB.
+/// The value of a name in a file of the process in /proc, in KiB.
 fn memory(gateway: &Gateway) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{}/status", gateway.process())).expect("its status");
     let line = status.lines().find(|line| line.starts_with("VmRSS:")).expect("its memory");
     line.split_whitespace().nth(1).and_then(|kib| kib.parse().ok()).expect("a number")
 }
 
-/// Processor time that a process has used, in ticks of a hundredth of a second.
+/// Processor time of a process in ticks of 10 ms.
 fn ticks(gateway: &Gateway) -> usize {
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", gateway.process())).expect("its state");
     let behind = stat.rsplit_once(") ").expect("its name").1;
@@ -123,13 +126,12 @@
 
 // --- Signals ---
 
-/// Guards against SIGHUP ending a process that has not come to heed it: here its configuration is still on
-/// its way.
+/// SIGHUP must not end a process that does not handle it yet: its configuration is still being read.
 #[test]
 fn sighup_while_it_starts_does_not_end_it() {
     let rig = Rig::new(vec![value()]);
     let agent = rig.agent();
-    // The usual configuration, taken from a process of its own.
+    // The usual configuration, taken from another process.
     let mut config = String::new();
     let usual = Gateway::launch_as(PROGRAM, agent.address, 64, None, |usual| {
         config = usual.clone();
@@ -152,13 +154,13 @@
     signal("HUP");
     writes.write_all(config.as_bytes()).expect("written");
     drop(writes);
-    until("the listener", || {
+    wait_until("the listener", || {
         assert!(child.try_wait().expect("its state").is_none(), "SIGHUP has ended it");
         TcpStream::connect(address).is_ok()
     });
-    // It has the configuration read anew.
+    // It reloads the configuration.
     std::fs::write(&path, &config).expect("the configuration is asked for again");
-    let mut client = Client::connect(address, BOUND).expect("the gateway listens");
+    let mut client = Client::connect(address, WAIT_TIMEOUT).expect("the gateway listens");
     assert_eq!(client.ask(""), Reply::Empty);
     gets(&mut client, &read(1));
     signal("TERM");
@@ -166,8 +168,8 @@
     let _ = std::fs::remove_file(&path);
 }
 
-/// Guards against what was taken before there was a list, and outlasts the process: with two signals at once
-/// in any order.
+/// Commands accepted before the first list must be answered before the process ends, with two signals at once in any
+/// order.
 #[test]
 fn a_signal_before_the_first_list_leaves_nothing_unanswered() {
     std::thread::scope(|scope| {
@@ -177,10 +179,10 @@
                 let agent = rig.agent();
                 agent.says_nothing(true);
                 let mut gateway = Gateway::launch_as(PROGRAM, agent.address, 64, None, |usual| {
-                    // Writes are worth an answer after their response target too, and so are held for longer.
+                    // Writes are held for longer, since late answers to them have a benefit too.
                     usual.replace(r#""worth":1.0"#, r#""worth":1.0,"late_worth":0.5"#)
                 });
-                until("the listener", || TcpStream::connect(gateway.address).is_ok());
+                wait_until("the listener", || TcpStream::connect(gateway.address).is_ok());
                 let mut asks = sent(&gateway, "");
                 let mut reads = sent(&gateway, &read(1).replace("d=1500", "d=20000"));
                 let mut writes = sent(&gateway, &write(2).replace("d=1500", "d=20000"));
@@ -194,7 +196,7 @@
                     assert!(reply.throttled(), "{signals:?}: {reply:?}");
                     assert_eq!(client.reply(), Reply::Ended, "{signals:?}");
                 }
-                // It never served, and says so.
+                // It never served, and reports that.
                 let said = [asks.reply(), asks.reply()];
                 assert_eq!(said, [Reply::Ready, Reply::Error("57P03".into(), None)], "{signals:?}");
                 assert!(gateway.ended(), "{signals:?}");
@@ -205,8 +207,8 @@
     });
 }
 
-/// Guards against commands whose clients wait for longer than the process lasts, wherever they are as SIGTERM
-/// comes: held without a primary, at a server that is still being opened, half answered.
+/// Commands whose clients wait for longer than the process lasts, wherever they are at SIGTERM: held without a primary,
+/// waiting for a connection, half answered.
 #[test]
 fn after_sigterm_all_that_waits_is_answered_wherever_it_is() {
     let follows = |stream: &mut TcpStream| {
@@ -219,7 +221,7 @@
     };
     let mute = TcpListener::bind("127.0.0.1:0").expect("a port");
     let opens = mute.local_addr().expect("an address");
-    // Where it is, the server, whether it has got the statement, and what the client is told.
+    // State of the command, the server, whether it has received the statement, and the client's answer.
     std::thread::scope(|scope| {
         for (place, address, said) in [
             ("held", server(follows), "53300"),
@@ -236,7 +238,7 @@
                 gateway.wait_ready();
                 let mut client = gateway.client();
                 client.send(&write(1).replace("d=1500", "d=20000"));
-                // It is on its way, or was sent back and is held.
+                // It is in transit, or was rejected and is held.
                 std::thread::sleep(300 * MS);
                 let began = Instant::now();
                 gateway.signal("TERM");
@@ -252,13 +254,13 @@
     drop(mute);
 }
 
-/// The advice that comes with a refusal in these settings: half the response target.
+/// Retry-after advice of these settings: half the response target.
 fn client_advice(code: &str) -> Option<String> {
     (code == "53300").then(|| "200".into())
 }
 
-/// Guards against clients that keep a process which is to end: they send on and on, never read, never finish
-/// a message, or never end their side.
+/// Clients must not keep a process from ending: they send continuously, never read, never finish a message, or never
+/// shut down their side.
 #[test]
 fn nobody_keeps_a_process_that_is_to_end() {
     let rig = Rig::new(vec![value()]);
@@ -272,7 +274,7 @@
         std::thread::spawn(move || std::io::copy(&mut reading, &mut std::io::sink()));
         std::thread::spawn(move || while writing.write_all(&bytes).is_ok() {})
     });
-    // Its answers fill the way back, until nothing more of it is taken.
+    // Its answers fill the buffers until no more is accepted.
     let never_reads = gateway.client();
     let mut writing = never_reads.stream.try_clone().expect("a clone");
     writing.set_write_timeout(Some(500 * MS)).expect("a bound");
@@ -295,7 +297,7 @@
     }
 }
 
-/// Guards against a longer listen queue than is taken in two turns, which is reset as the listener is closed.
+/// A listen queue longer than two turns must not be reset when the listener closes.
 #[test]
 fn a_full_listen_queue_is_served_before_the_listener_is_closed() {
     let rig = Rig::new(vec![value()]);
@@ -309,12 +311,12 @@
     for id in 0..400 {
         let address = gateway.address;
         let Ok(mut stream) = TcpStream::connect_timeout(&address, 100 * MS) else { break };
-        stream.set_read_timeout(Some(BOUND)).expect("a bound");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a bound");
         let query = message(b'Q', format!("{}\0", read(1_000 + id)).as_bytes());
         stream.write_all(&[START, &query].concat()).expect("written");
         asking.push(Client { stream });
     }
-    // By now the queue was to be closed.
+    // The queue was to be closed by now.
     std::thread::sleep(900 * MS);
     gateway.signal("CONT");
     let count = asking.len();
@@ -329,12 +331,14 @@
 
 // --- Time-outs ---
 
-/// Guards against a pause of the whole process that is taken for silence: what came in meanwhile is read
-/// before anything is given up.
+/// A pause of the process must not count as silence: data that arrived meanwhile is read before anything times out.
 #[test]
 fn after_a_pause_what_came_in_goes_before_its_time_out() {
-    let late = vec![Does::AnswersLate(b"late".to_vec(), 1_200 * MS)];
-    let rig = Rig { primary: Server::start(true, late), replica: Server::start(false, vec![value()]) };
+    let late = vec![Reaction::AnswersLate(b"late".to_vec(), 1_200 * MS)];
+    let rig = Rig {
+        primary: ScriptedServer::start(true, late),
+        replica: ScriptedServer::start(false, vec![value()]),
+    };
     let agent = rig.agent();
     let gateway = Gateway::start(PROGRAM, agent.address);
     let (mut waits, mut half, mut opens) = (gateway.client(), gateway.client(), raw(&gateway));
@@ -345,8 +349,8 @@
     std::thread::sleep(1_200 * MS);
     waits.send(&write(1));
     std::thread::sleep(700 * MS);
-    // Half a message has 2.5 s, and the write 1.5 s; both come to their ends in the pause, after what they
-    // wait for.
+    // An incomplete message has 2.5 s, and the write 1.5 s; both time out during the pause, after the data that they
+    // wait for has arrived.
     gateway.signal("STOP");
     half.stream.write_all(second).expect("written");
     opens.write_all(&START[9..]).expect("written");
@@ -359,7 +363,7 @@
     assert_eq!([opens.reply(), opens.ask("")], [Reply::Ready, Reply::Empty]);
 }
 
-/// Guards against an `id` that is held on to after its answer: a client may use it at once again.
+/// An `id` must be free after its answer: a client may reuse it at once.
 #[test]
 fn an_id_is_free_once_it_is_answered() {
     let rig = Rig::new(vec![value()]);
@@ -370,8 +374,8 @@
         gets(&mut one, &read(7));
         gets(&mut another, &read(7));
     }
-    // The same where the last one was given up, and the attempt for it may still be out.
-    let slow = Rig::new(vec![Does::AnswersLate(b"late".to_vec(), 400 * MS)]);
+    // The same if the last command was abandoned and its attempt may still be in flight.
+    let slow = Rig::new(vec![Reaction::AnswersLate(b"late".to_vec(), 400 * MS)]);
     let agent = slow.agent();
     let gateway = Gateway::start(PROGRAM, agent.address);
     let mut client = gateway.client();
@@ -383,10 +387,10 @@
 
 // --- Descriptors ---
 
-/// Guards against a queue that can't be taken and has the loop spin, and against requests dropped for it.
+/// A queue that cannot be accepted must neither cause a busy loop nor lost requests.
 #[test]
 fn a_queue_that_finds_no_room_costs_nothing_and_is_served_later() {
-    let rig = Rig::new(vec![value(), Does::AnswersLate(b"late".to_vec(), 2_500 * MS)]);
+    let rig = Rig::new(vec![value(), Reaction::AnswersLate(b"late".to_vec(), 2_500 * MS)]);
     let agent = rig.agent();
     let gateway = Gateway::with_sockets(PROGRAM, agent.address, 64);
     let mut first = gateway.client();
@@ -394,7 +398,7 @@
     gets(&mut first, &write(51));
     drop(first);
     let long = |statement: String| statement.replace("d=1500", "d=9000");
-    // Each of them holds two descriptors of twenty-four.
+    // Each of them holds two of twenty-four descriptors.
     let mut busy: Vec<Client> = (0..12)
         .map(|id| {
             let mut client = gateway.client();
@@ -402,7 +406,7 @@
             client
         })
         .collect();
-    until("all at their servers", || rig.primary.asked().len() + rig.replica.asked().len() >= 14);
+    wait_until("all at their servers", || rig.primary.asked().len() + rig.replica.asked().len() >= 14);
     let mut waiting: Vec<Client> = (100..130).map(|id| sent(&gateway, &long(read(id)))).collect();
     std::thread::sleep(300 * MS);
     let before = ticks(&gateway);
@@ -419,8 +423,8 @@
     }
 }
 
-/// Guards against a machine that grants fewer descriptors than the configuration: clients that rest would
-/// hold all, and neither servers nor discovery be reached.
+/// The system may grant fewer descriptors than configured: idle clients would hold all of them, and neither servers nor
+/// discovery could be reached.
 #[test]
 fn where_the_machine_grants_fewer_descriptors_some_stay_free() {
     let rig = Rig::new(vec![value()]);
@@ -435,7 +439,7 @@
     }
     let mut client = gateway.client();
     gets(&mut client, &read(1));
-    // Discovery's return is heard while they go on holding on.
+    // The return of discovery is noticed while they stay connected.
     agent.says_nothing(true);
     std::thread::sleep(3_500 * MS);
     for _ in 0..100 {
@@ -447,7 +451,7 @@
     agent.says_nothing(false);
     let since = Instant::now();
     let mut id = 100;
-    until("reads at the primary alone", || {
+    wait_until("reads at the primary alone", || {
         let before = rig.replica.asked().len();
         for _ in 0..10 {
             id += 1;
@@ -462,8 +466,7 @@
     assert!(used < 30, "{used} hundredths of a second of one");
 }
 
-/// Guards against idle clients that hold all descriptors while discovery is down, so that its return goes
-/// unheard.
+/// Idle clients must not hold all descriptors while discovery is down, or its return would go unnoticed.
 #[test]
 fn discovery_is_heard_again_however_many_clients_rest() {
     let rig = Rig::new(vec![value()]);
@@ -484,7 +487,7 @@
     agent.says_nothing(false);
     let since = Instant::now();
     let mut id = 100;
-    until("reads at the primary alone", || {
+    wait_until("reads at the primary alone", || {
         let before = rig.replica.asked().len();
         for _ in 0..10 {
             id += 1;
@@ -497,8 +500,8 @@
 
 // --- Floods and bad clients ---
 
-/// Guards against a comment of thousands of names, each of which was compared with all before it: a message
-/// took a second.
+/// A comment with thousands of names, each of which was compared with all before it: a message took a
+/// second.
 #[test]
 fn a_statement_costs_no_more_than_its_length() {
     let rig = Rig::new(vec![value()]);
@@ -514,13 +517,13 @@
         flood.stream.write_all(&long).expect("written");
         assert_eq!(flood.reply(), Reply::Error("42601".into(), None));
     }
-    // Processor time of its own, whatever else the machine does: 20 such took 20 s and more.
+    // Own processor time, whatever else the machine does: twenty such messages took 20 s and more.
     let used = ticks(&gateway) - before;
     assert!(used < 200, "{used} hundredths of a second for 20 messages");
     gets(&mut client, &read(1));
 }
 
-/// Guards against sessions' names, as long as their clients like, that fill the memory.
+/// Session names as long as clients choose must not fill the memory.
 #[test]
 fn long_names_of_sessions_do_not_fill_the_memory() {
     let rig = Rig::new(vec![value()]);
@@ -545,9 +548,8 @@
     assert!(grown < 20 * 1_024, "{grown} KiB for 300 sessions");
 }
 
-/// Guards against all that bad clients do at once, for those beside them: much at once and gone, endless
-/// messages, lengths that make no sense, half a startup, a byte now and then, answers never read, encryption
-/// asked for on and on, noise.
+/// All kinds of bad clients at once must not affect others: floods, endless messages, invalid lengths, half a
+/// startup, a byte now and then, answers never read, repeated requests for encryption, noise.
 #[test]
 fn bad_clients_cost_the_others_nothing() {
     let rig = Rig::new(vec![value()]);
@@ -560,7 +562,7 @@
     let (address, over) = (gateway.address, Arc::new(AtomicBool::new(false)));
     let endless = [&b"Q\x03\xff\xff\xff"[..], &vec![b'x'; 1 << 20]].concat();
     let kinds: Vec<(Vec<u8>, usize)> = vec![
-        // What is sent first and then again and again, and how often before it goes.
+        // Sent first, sent repeatedly, and the number of repetitions before it leaves.
         ([START, &message(b'Q', &vec![b'x'; 100_000]).repeat(10)].concat(), 10),
         ([START, &endless].concat(), 60),
         ([START, b"Q\0\0\0\0"].concat(), 1),
@@ -612,10 +614,10 @@
         gets(&mut client, &read(asked));
         most = most.max(memory(&gateway));
     }
-    // Discovery is heard beside them.
+    // Discovery is heard meanwhile.
     agent.has(rig.entries("draining"));
     let since = Instant::now();
-    until("reads at the primary alone", || {
+    wait_until("reads at the primary alone", || {
         let before = rig.replica.asked().len();
         for _ in 0..10 {
             asked += 1;
@@ -632,8 +634,8 @@
     assert!(most < before + 48 * 1_024, "{before} KiB before, {most} KiB then");
 }
 
-/// Whatever bytes come, the gateway goes on serving. The bytes are drawn from seeds: noise, and what looks
-/// like messages.
+/// Whatever bytes arrive, the gateway continues to serve. The bytes are generated from seeds: noise, and modified
+/// messages.
 #[test]
 fn no_bytes_end_the_gateway() {
     let rig = Rig::new(vec![value()]);
@@ -677,12 +679,12 @@
             assert!(served(&reply) || reply.throttled(), "seed {seed}: {reply:?}");
         }
     }
-    until("a value", || served(&gateway.client().ask(&read(9_999))));
+    wait_until("a value", || served(&gateway.client().ask(&read(9_999))));
 }
 
 // --- Starts ---
 
-/// An operator reads which key is wrong.
+/// The error names the invalid key.
 #[test]
 fn a_listen_address_in_use_is_named_by_its_key() {
     let rig = Rig::new(vec![value()]);
--- a/crates/cli/tests/expecting.rs
+++ b/crates/cli/tests/expecting.rs
@@ -1,4 +1,4 @@
-//! The program's command line without sockets: exit codes, reports, saved runs.
+//! The command line without sockets: exit codes, reports, saved runs.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -80,7 +80,7 @@
         let text = std::fs::read_to_string(file).expect("the report");
         assert!(parts.iter().all(|part| text.contains(part)), "{form}: {text}");
     }
-    // Guards against a report that is half written, or written where nothing could be checked.
+    // A report must not be half written, nor written where nothing could be checked.
     let there = std::fs::read_dir(folder.path()).expect("the folder").count();
     let path = folder.path().join("none").display().to_string();
     let (exit, ..) = run(&["expect", "--config", "none.json", WRONG, "--output", &path]);
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -1,14 +1,14 @@
-//! Several processes of the program with faults between them: what gateways that know each other promise. The
-//! verdicts are the rig's; each test adds what its own failure must not lead to.
+//! Guarantees of membership and gossip with several processes and injected faults. The rig checks the rules; each
+//! test adds what its fault must not lead to.
 
 use std::path::Path;
 
-use tansyjunction_rig::judge::Told;
-use tansyjunction_rig::{Fault, Outcome, Plan, Sight, What, run, run_when};
+use tansyjunction_rig::judge::MembershipLine;
+use tansyjunction_rig::{Fault, FaultKind, Outcome, Plan, StepCondition, run, run_when};
 
-/// Plays faults, each of which begins and ends as soon as the machine has come to what is `ready`, and no sooner than
-/// planned.
-fn play_when(faults: Vec<Fault>, ready: impl Fn(&Sight) -> bool) -> Outcome {
+/// Runs faults, each of which begins and ends once the machine has reached what `ready` requires, and not before its
+/// planned time.
+fn play_when(faults: Vec<Fault>, ready: impl Fn(&StepCondition) -> bool) -> Outcome {
     let plan = Plan { faults, ..Plan::default() };
     let program = Path::new(env!("CARGO_BIN_EXE_tansyjunction"));
     let outcome = run_when(program, &plan, &ready).expect("the rig works");
@@ -21,12 +21,12 @@
     play_when(faults, |_| true)
 }
 
-/// The same, and no fault ends before this was told.
-fn play_until(faults: Vec<Fault>, told: impl Fn(&[Told]) -> bool) -> Outcome {
+/// The same, and no fault ends before this was reported.
+fn play_until(faults: Vec<Fault>, told: impl Fn(&[MembershipLine]) -> bool) -> Outcome {
     play_when(faults, |sight| !sight.ends() || told(&sight.history()))
 }
 
-fn fault(at_ms: u64, for_ms: u64, what: What) -> Fault {
+fn fault(at_ms: u64, for_ms: u64, what: FaultKind) -> Fault {
     Fault { at_ms, for_ms, what }
 }
 
@@ -34,8 +34,8 @@
     (0..Plan::default().gateways).filter(|other| *other != one).collect()
 }
 
-/// Gateways that were told to be down, each with who told so.
-fn deaths(history: &[Told]) -> Vec<(usize, usize)> {
+/// Gateways that were reported down, each with its reporters.
+fn deaths(history: &[MembershipLine]) -> Vec<(usize, usize)> {
     let down = history.iter().filter(|told| told.what == "down" && told.at_ms >= 0);
     down.filter_map(|told| Some((told.by, told.of?))).collect()
 }
@@ -43,21 +43,21 @@
 #[test]
 fn a_zone_that_is_cut_off_is_known_on_both_sides_and_heals() {
     let (zone, rest) = Plan::default().sides(1);
-    let cut = |from: &Vec<usize>, to: &Vec<usize>| What::Cut { from: from.clone(), to: to.clone() };
+    let cut = |from: &Vec<usize>, to: &Vec<usize>| FaultKind::Cut { from: from.clone(), to: to.clone() };
     let known =
         |told: &[(usize, usize)]| rest.iter().all(|by| zone.iter().all(|of| told.contains(&(*by, *of))));
     let faults = vec![fault(0, 5_000, cut(&zone, &rest)), fault(0, 5_000, cut(&rest, &zone))];
     let outcome = play_until(faults, |history| known(&deaths(history)));
     let told = deaths(&outcome.history);
     assert!(known(&told), "{told:?}");
-    // Inside nobody is accused whom one still hears.
+    // Within the zone nobody suspects a reachable gateway.
     assert!(!told.iter().any(|(by, of)| zone.contains(by) == zone.contains(of)), "{told:?}");
 }
 
 #[test]
 fn one_that_hears_nobody_accuses_nobody() {
-    let deaf = |history: &[Told]| history.iter().any(|told| told.by == 4 && told.what == "deaf");
-    let outcome = play_until(vec![fault(0, 5_000, What::Cut { from: others(4), to: vec![4] })], deaf);
+    let deaf = |history: &[MembershipLine]| history.iter().any(|told| told.by == 4 && told.what == "deaf");
+    let outcome = play_until(vec![fault(0, 5_000, FaultKind::Cut { from: others(4), to: vec![4] })], deaf);
     let told = deaths(&outcome.history);
     assert!(told.iter().all(|(by, of)| *by != 4 && *of == 4), "{told:?}");
     assert!(deaf(&outcome.history));
@@ -65,7 +65,7 @@
 
 #[test]
 fn one_that_stood_still_for_five_seconds_takes_nobody_for_dead() {
-    let faults = vec![fault(0, 5_000, What::Pause { who: vec![2] })];
+    let faults = vec![fault(0, 5_000, FaultKind::Pause { who: vec![2] })];
     let outcome = play_until(faults, |history| !deaths(history).is_empty());
     let told = deaths(&outcome.history);
     assert!(told.iter().all(|(by, of)| *by != 2 && *of == 2) && !told.is_empty(), "{told:?}");
@@ -77,7 +77,7 @@
     let found = |told: &[(usize, usize)]| {
         [2, 4].iter().all(|by| [0, 1, 3, 5].iter().all(|of| told.contains(&(*by, *of))))
     };
-    let faults = vec![fault(0, 6_000, What::Kill { who: vec![0, 1, 3, 5] })];
+    let faults = vec![fault(0, 6_000, FaultKind::Kill { who: vec![0, 1, 3, 5] })];
     let outcome = play_until(faults, |history| found(&deaths(history)));
     let told = deaths(&outcome.history);
     assert!(found(&told), "{told:?}");
@@ -87,9 +87,11 @@
 #[test]
 fn planned_restarts_are_farewells_and_lose_no_command() {
     let stops = [1, 4, 2].iter().enumerate();
-    // Whoever was started anew is known to all, and knows all, before the next one is told to stop.
+    // A restarted gateway is known to all, and knows all, before the next one is stopped.
     let outcome = play_when(
-        stops.map(|(turn, who)| fault(3_800 * turn as u64, 3_700, What::Stop { who: vec![*who] })).collect(),
+        stops
+            .map(|(turn, who)| fault(3_800 * turn as u64, 3_700, FaultKind::Stop { who: vec![*who] }))
+            .collect(),
         |sight| !sight.begins() || sight.agreed(),
     );
     assert_eq!(deaths(&outcome.history), []);
@@ -99,7 +101,7 @@
 #[test]
 fn a_third_lost_doubled_and_reordered_costs_nobody_his_life() {
     let all: Vec<usize> = (0..6).collect();
-    let bad = What::Bad { from: all.clone(), to: all, lost: 0.3, doubled: 0.3, delay_ms: 20 };
+    let bad = FaultKind::Bad { from: all.clone(), to: all, lost: 0.3, doubled: 0.3, delay_ms: 20 };
     let outcome = play(vec![fault(0, 8_000, bad)]);
     assert_eq!(deaths(&outcome.history), []);
 }
@@ -112,7 +114,7 @@
     assert_eq!(outcome.history.iter().filter(|told| told.what == "yields").count(), 1);
 }
 
-/// The long form: plans drawn from seeds.
+/// The long form: plans generated from seeds.
 #[test]
 #[ignore = "some minutes"]
 fn drawn_plans_break_no_rule() {
--- a/crates/cli/tests/leaving.rs
+++ b/crates/cli/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Clients that leave, and connections to clients that are ended here: what is owed at that instant, on real sockets.
+//! Clients that leave, and connections that the gateway closes: obligations at that moment, on real sockets.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
@@ -10,12 +10,12 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_tansyjunction");
 const MS: Duration = Duration::from_millis(1);
-/// An attempt that begins so long after its client's end is a break.
+/// An attempt that begins this long after its client left is a violation.
 const NO_LATER: Duration = Duration::from_millis(100);
 
-/// A gateway between a primary and a replica, whose connections may take 1.5 s to come up. It sends no probes, so that
-/// what a server sees is for commands.
-fn rig_with(primary: Held, replica: Held, sockets: usize) -> (Held, Held, Gateway) {
+/// A gateway between a primary and a replica, with up to 1.5 s for connections. It sends no probes, so that servers
+/// only see commands.
+fn rig_with(primary: HeldServer, replica: HeldServer, sockets: usize) -> (HeldServer, HeldServer, Gateway) {
     let entries = [entry("s1", primary.address, "up", true), entry("s2", replica.address, "up", false)];
     let (discovery, _changes) = discovery(list(1, true, &entries));
     let settings = SETTINGS.replace("\"dial_timeout\":250000000", "\"dial_timeout\":1500000000");
@@ -25,20 +25,20 @@
     (primary, replica, gateway)
 }
 
-fn rig(goes: Goes, sockets: usize) -> (Held, Held, Gateway) {
-    rig_with(Held::start(true, goes), Held::start(false, goes), sockets)
+fn rig(goes: Progress, sockets: usize) -> (HeldServer, HeldServer, Gateway) {
+    rig_with(HeldServer::start(true, goes), HeldServer::start(false, goes), sockets)
 }
 
 fn query(statement: &str) -> Vec<u8> {
     message(b'Q', format!("{statement}\0").as_bytes())
 }
 
-/// A read that its client waits long for.
+/// A read with a long client timeout.
 fn patient(id: u32) -> String {
     read(id).replace("d=1500", "d=9000")
 }
 
-/// Reads with these ids on, of at least so many bytes together.
+/// Reads with these ids, of at least this many bytes together.
 fn ahead(first: u32, bytes: usize) -> Vec<u8> {
     let mut all = Vec::new();
     for id in first.. {
@@ -50,10 +50,10 @@
     all
 }
 
-/// The ids of all statements that have begun at these servers.
-fn ids(servers: [&Held; 2]) -> Vec<String> {
-    let id = |begun: Begun| match begun {
-        Begun::Whole(statement) => {
+/// Ids of all statements that have begun at these servers.
+fn ids(servers: [&HeldServer; 2]) -> Vec<String> {
+    let id = |begun: StatementProgress| match begun {
+        StatementProgress::Whole(statement) => {
             let id = statement.split("id=").nth(1).and_then(|rest| rest.split(',').next());
             id.unwrap_or("none").to_string()
         }
@@ -62,7 +62,7 @@
     servers.iter().flat_map(|server| server.begun()).map(id).collect()
 }
 
-/// What still comes on a connection until it ends.
+/// Data that still arrives on a connection until it ends.
 fn rest_of(stream: &mut TcpStream) -> Vec<u8> {
     let mut rest = Vec::new();
     if let Err(error) = stream.read_to_end(&mut rest) {
@@ -71,11 +71,11 @@
     rest
 }
 
-/// Guards against attempts for a client whose end lies behind what it had sent ahead: for one that waits for a
-/// connection that is still coming up, one that waits behind an attempt that is out, and one that was sent back.
+/// No attempt may be made for a client that left after sending ahead: for a command that waits for its connection,
+/// for one behind an attempt in flight, and for a rejected one.
 #[test]
 fn nothing_is_sent_for_a_client_that_left_behind_what_it_sent_ahead() {
-    for goes in [Goes::Mute, Goes::Reads, Goes::Throttles] {
+    for goes in [Progress::Mute, Progress::Reads, Progress::Throttles] {
         for bytes in [0, 2_000, 8_000, 60_000, 300_000, 500_000, 560_000] {
             let (primary, replica, gateway) = rig(goes, 64);
             let mut leaving = gateway.client();
@@ -83,39 +83,39 @@
                 .stream
                 .write_all(&[query(&patient(1)), ahead(1_000, bytes)].concat())
                 .expect("it is sent");
-            until("the first attempt", || match goes {
-                Goes::Mute => primary.connected() + replica.connected() > 0,
+            wait_until("the first attempt", || match goes {
+                Progress::Mute => primary.connected() + replica.connected() > 0,
                 _ => !ids([&primary, &replica]).is_empty(),
             });
             leaving.stream.shutdown(Shutdown::Write).expect("it ends");
-            // The gateway gives it up at once: nothing is answered, and the connection ends.
+            // The gateway abandons it at once: no answer, and the connection closes.
             let answered = rest_of(&mut leaving.stream);
             let before = ids([&primary, &replica]);
-            // Those that were sent back may have been answered before the end.
-            if goes != Goes::Throttles {
+            // Rejected ones may have been answered before the client left.
+            if goes != Progress::Throttles {
                 assert_eq!(answered.len(), 0, "{goes:?}, {bytes} ahead: bytes of answers");
                 assert!(before.iter().all(|id| id == "1"), "{goes:?}, {bytes} ahead: {before:?}");
             }
-            primary.lets(Goes::Answers);
-            replica.lets(Goes::Answers);
+            primary.lets(Progress::Answers);
+            replica.lets(Progress::Answers);
             assert_eq!(gateway.client().ask(&patient(2)), Reply::Value(b"held".to_vec()));
             let after = ids([&primary, &replica]);
             let sent = |id: &String| id != "2";
             let (was, is) = (before.len(), after.iter().filter(|id| sent(id)).count());
-            // One that was sent back may have had its next attempt on the way as the client left.
-            let on_its_way = usize::from(goes == Goes::Throttles);
+            // The next attempt of a rejected one may have been in transit as the client left.
+            let on_its_way = usize::from(goes == Progress::Throttles);
             assert!(is <= was + on_its_way, "{goes:?}, {bytes} ahead: {was} before, then {after:?}");
         }
     }
 }
 
-/// Guards against a statement that is written for a client that left while the process stood still: the server's
-/// welcome came first, and the client's end is read after it. One client or a burst of them, with and without bytes
-/// sent ahead; one that stays is served.
+/// No statement may be written for a client that left while the process was paused: the server's answer to the
+/// startup came first, and the client's end is read after it. One client or a burst, with and without data sent
+/// ahead; a client that stays is served.
 #[test]
 fn a_client_is_looked_for_when_its_statement_is_about_to_be_written() {
     for (count, bytes) in [(1, 0), (1, 40_000), (150, 0), (60, 9_000)] {
-        let (primary, replica, gateway) = rig(Goes::Mute, 1_024);
+        let (primary, replica, gateway) = rig(Progress::Mute, 1_024);
         let mut stays = gateway.client();
         let mut leaving: Vec<Client> = (0..count).map(|_| gateway.client()).collect();
         for (n, client) in leaving.iter_mut().enumerate() {
@@ -124,14 +124,14 @@
             client.stream.write_all(&sent).expect("it is sent");
         }
         let connected = || primary.connected() + replica.connected();
-        until("their connections", || connected() >= count.min(4));
+        wait_until("their connections", || connected() >= count.min(4));
         stays.send(&patient(1));
         sleep(20 * MS);
         gateway.signal("STOP");
         let connected = connected();
-        primary.lets(Goes::Answers);
-        replica.lets(Goes::Answers);
-        until("the welcomes", || primary.welcomed() + replica.welcomed() >= connected);
+        primary.lets(Progress::Answers);
+        replica.lets(Progress::Answers);
+        wait_until("the welcomes", || primary.welcomed() + replica.welcomed() >= connected);
         drop(leaving);
         sleep(NO_LATER + 50 * MS);
         gateway.signal("CONT");
@@ -143,31 +143,32 @@
     }
 }
 
-/// Guards against the rest of a statement that is written, and so makes it run, for a client that has gone.
+/// The rest of a statement must not be written, and so executed, for a client that has gone.
 #[test]
 fn a_statement_that_is_partly_written_is_not_finished_for_a_client_that_left() {
-    let primary = Held::narrow(true, Goes::Welcomes);
-    let (primary, _replica, gateway) = rig_with(primary, Held::start(false, Goes::Answers), 64);
+    let primary = HeldServer::narrow(true, Progress::Welcomes);
+    let (primary, _replica, gateway) = rig_with(primary, HeldServer::start(false, Progress::Answers), 64);
     let mut leaving = gateway.client();
     let long = write(1).replace("9f03", &"9f".repeat(65_000)).replace("d=1500", "d=9000");
     leaving.send(&long);
-    until("its first bytes", || primary.begun() == [Begun::First]);
+    wait_until("its first bytes", || primary.begun() == [StatementProgress::First]);
     leaving.stream.shutdown(Shutdown::Write).expect("it ends");
     assert_eq!(rest_of(&mut leaving.stream).len(), 0);
-    primary.lets(Goes::Answers);
-    until("the end of the statement", || primary.begun() != [Begun::First]);
-    assert!(primary.begun() == [Begun::Torn], "it came whole");
-    // One that stays has its long statement written to the end.
+    primary.lets(Progress::Answers);
+    wait_until("the end of the statement", || primary.begun() != [StatementProgress::First]);
+    assert!(primary.begun() == [StatementProgress::Torn], "it came whole");
+    // The long statement of a client that stays is written completely.
     let mut stays = gateway.client();
     assert_eq!(stays.ask(&long.replace("id=1,", "id=2,")), Reply::Value(b"held".to_vec()));
     assert_eq!(primary.begun().len(), 2);
 }
 
-/// Guards against a gateway that works for a client which leaves without having read its answers.
+/// The gateway must not work for a client that leaves without reading its answers.
 #[test]
 fn a_client_that_reads_no_answers_and_leaves_gets_no_further_attempt() {
-    let value = Does::Answers(vec![7; 60_000]);
-    let (primary, replica) = (Server::start(true, vec![value.clone()]), Server::start(false, vec![value]));
+    let value = Reaction::Answers(vec![7; 60_000]);
+    let (primary, replica) =
+        (ScriptedServer::start(true, vec![value.clone()]), ScriptedServer::start(false, vec![value]));
     let entries = [entry("s1", primary.address, "up", true), entry("s2", replica.address, "up", false)];
     for ends in [true, false] {
         let (discovery, _changes) = discovery(list(1, true, &entries));
@@ -176,9 +177,9 @@
         let before = asked();
         let mut leaving = gateway.client();
         leaving.stream.write_all(&ahead(1, 300_000)).expect("it is sent");
-        // The gateway goes no further than what the sockets hold.
+        // The gateway proceeds no further than the socket buffers allow.
         let mut last = 0;
-        until("a standstill", || {
+        wait_until("a standstill", || {
             sleep(150 * MS);
             std::mem::replace(&mut last, asked()) == asked() && last > before
         });
@@ -198,10 +199,10 @@
     }
 }
 
-/// Guards against clients that send ahead without end, whose bytes would fill the memory.
+/// Clients that send ahead endlessly must not fill the memory.
 #[test]
 fn what_clients_send_ahead_takes_a_bounded_memory() {
-    let (primary, replica, gateway) = rig(Goes::Mute, 1_024);
+    let (primary, replica, gateway) = rig(Progress::Mute, 1_024);
     let before = gateway.memory();
     let flood = ahead(100_000, 2_000_000);
     let mut flooding: Vec<TcpStream> = Vec::new();
@@ -209,7 +210,7 @@
         let mut stream = gateway.client().stream;
         stream.write_all(&query(&patient(10 + n))).expect("it is sent");
         stream.set_nonblocking(true).expect("a mode");
-        // As much as the sockets take.
+        // As much as the sockets accept.
         for _ in 0..20 {
             let mut sent = 0;
             while let Ok(count) = stream.write(&flood[sent..]) {
@@ -229,28 +230,28 @@
     println!("{} KiB more", more / 1_024);
     assert!(more < 24 * 1_024 * 1_024, "{more}");
     drop(flooding);
-    primary.lets(Goes::Answers);
-    replica.lets(Goes::Answers);
+    primary.lets(Progress::Answers);
+    replica.lets(Progress::Answers);
     assert_eq!(gateway.client().ask(&patient(2)), Reply::Value(b"held".to_vec()));
 }
 
-/// Whether the other side still takes what is sent on a connection that it has ended: one that is closed resets it.
+/// Whether the other side still accepts data on a connection that it has shut down; a closed one sends a reset.
 fn takes_on(stream: &mut TcpStream) -> bool {
     let bytes = query(&patient(77));
     let sent = stream.write_all(&bytes).and_then(|()| stream.write_all(&bytes));
     sent.is_ok() && stream.take_error().is_ok_and(|error| error.is_none())
 }
 
-/// Guards against a close that resets its connection under a command that crosses it, and so may overtake the last
-/// answer; and against that command being sent on: its client sends it again.
+/// Closing a connection must not send a reset to a command that crosses it, which may overtake the last answer; nor
+/// may that command be forwarded, since its client sends it again.
 #[test]
 fn a_command_that_crosses_the_end_of_a_resting_connection_meets_no_reset() {
-    let (primary, replica, gateway) = rig(Goes::Answers, 64);
+    let (primary, replica, gateway) = rig(Progress::Answers, 64);
     let mut clients: Vec<Client> = (0..17).map(|_| gateway.client()).collect();
     for (id, client) in clients.iter_mut().enumerate() {
         assert!(matches!(client.ask(&patient(id as u32)), Reply::Value(_)));
     }
-    // One more than may rest: the first makes way.
+    // One more than may stay idle: the first one is closed.
     assert_eq!(clients[0].reply(), Reply::Ended);
     assert!(takes_on(&mut clients[0].stream), "it was reset");
     assert_eq!(rest_of(&mut clients[0].stream), b"");
@@ -258,16 +259,16 @@
     assert!(!ids([&primary, &replica]).contains(&"77".to_string()));
 }
 
-/// Guards against the close of a connection on which a command, or a startup with one behind, lies unread:
-/// descriptors run out in the very moment in which it comes, while the process stands still.
+/// A connection with an unread command, or a startup with one behind it, must not be closed: descriptors run out at the
+/// moment it arrives, while the process is paused.
 #[test]
 fn what_lies_unread_when_descriptors_run_out_is_answered() {
     for silent in [false, true] {
-        let (_primary, _replica, gateway) = rig(Goes::Answers, 64);
+        let (_primary, _replica, gateway) = rig(Progress::Answers, 64);
         let mut first = if silent {
             let stream = TcpStream::connect(gateway.address).expect("the gateway listens");
-            stream.set_read_timeout(Some(BOUND)).expect("a bound");
-            // Long enough to be taken for one that sends no startup.
+            stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a bound");
+            // Long enough to count as one without a startup.
             sleep(600 * MS);
             Client { stream }
         } else {
--- a/crates/cli/tests/logging.rs
+++ b/crates/cli/tests/logging.rs
@@ -1,4 +1,4 @@
-//! What `serve` logs, as its settings say.
+//! Logging of `serve` according to the settings.
 
 use std::net::{TcpListener, TcpStream};
 use std::process::Command;
@@ -7,8 +7,7 @@
 const CONFIG: &str = r#"{"name":"n0","listen":"LISTEN","discovery":"127.0.0.2:9","settings":{"my_zone":"a",
     "localities":["a"],"categories":[{"name":"look","aim":400000000,"hard_limit":1500000000,"effect":"pure"}]}}"#;
 
-/// Starts the program, has it serve until it has logged `line` or, without one, for a moment; stops it, and gives
-/// what it logged.
+/// Runs the program until it has logged `line` or, without one, for a moment; returns the log.
 fn logged(settings: &str, line: Option<&str>) -> String {
     let folder = tempfile::tempdir().expect("a folder");
     let listen = TcpListener::bind("127.0.0.3:0").and_then(|l| l.local_addr()).expect("a free port");
@@ -34,10 +33,10 @@
         }
     };
     until("it does not listen", &|| TcpStream::connect(listen).is_ok());
-    // Discovery is not there, which is logged again and again.
+    // Discovery is unreachable, which is logged repeatedly.
     match line {
         Some(line) => until(line, &|| std::fs::read_to_string(&log).is_ok_and(|text| text.contains(line))),
-        // What must not be logged can't be waited for; to look for longer finds no more that is right.
+        // The absence of lines cannot be waited for; a longer run would not find more.
         None => std::thread::sleep(Duration::from_millis(300)),
     }
     let kill = Command::new("sh").arg("-c").arg(format!("kill -TERM {}", child.id())).status();
@@ -58,7 +57,7 @@
         json.lines().map(|line| serde_json::from_str(line).unwrap_or_else(|_| panic!("{line}"))).collect();
     assert!(lines.iter().all(|line| line["target"] == "start" && line["level"] == "INFO"), "{json}");
     assert_eq!(lines.len(), 2, "{json}");
-    let bounded = logged("[log]\nlines_a_second = 1", Some(" lines left out)"));
-    assert!(bounded.contains(" lines left out)"), "{bounded}");
+    let bounded = logged("[log]\nlines_a_second = 1", Some(" lines suppressed)"));
+    assert!(bounded.contains(" lines suppressed)"), "{bounded}");
     assert_eq!(logged("[log]\nlevel = off", None), "");
 }
--- a/crates/cli/tests/rig/agent.rs
+++ b/crates/cli/tests/rig/agent.rs
@@ -1,4 +1,4 @@
-//! Discovery's agent on a gateway's machine: what it has, and the ways in which it keeps that to itself or spoils it.
+//! Discovery agent on a gateway's machine: its list, and the ways in which it withholds or corrupts it.
 #![allow(dead_code)]
 
 use std::io::{Read, Write};
@@ -7,29 +7,29 @@
 use std::time::{Duration, Instant};
 
 use tansyjunction_standin::Reply;
-use tansyjunction_standin::scripted::{Does, Gateway, Server, entry, read, until};
+use tansyjunction_standin::scripted::{Gateway, Reaction, ScriptedServer, entry, read, wait_until};
 
-/// Between two signs of life on a watch.
+/// Interval between signs of life on a watch.
 const BEAT: Duration = Duration::from_secs(2);
 
-/// How it spoils what it says.
+/// How it corrupts its output.
 #[derive(Clone, Copy, Debug)]
 pub enum Spoils {
-    /// Byte by byte, with this pause between them; what began so goes on so.
+    /// Byte by byte, with this pause between them; answers that began so continue so.
     Drips(Duration),
     /// Half of a list, then a reset.
     Resets,
-    /// A list in which most servers are missing, without a length, then a reset.
+    /// A list without most servers and without a length, then a reset.
     ResetsAtTheEnd,
     /// Half of a list, then the end.
     Ends,
-    /// Nothing that can be read.
+    /// Invalid data.
     Malformed,
-    /// The same, on a watch alone.
+    /// The same, only on a watch.
     MalformedWatch,
     /// A list without an end.
     Huge,
-    /// What it has, again and again, and empty lines, on a watch alone.
+    /// Its list repeatedly, and empty lines, only on a watch.
     Floods,
 }
 
@@ -37,19 +37,19 @@
 struct State {
     version: u64,
     entries: Vec<String>,
-    /// Connections opened before, by their number, never hear another word.
+    /// Connections up to this number never receive anything more.
     mute_below: usize,
-    /// So many of those that come next don't either.
+    /// Number of further connections that stay silent.
     mute_next: usize,
     mute_all: bool,
-    /// Connections opened before are ended.
+    /// Connections up to this number are closed.
     ended_below: usize,
     /// Lists are written over many lines, in pieces with this pause between them.
     indented: bool,
     pause: Option<Duration>,
-    /// What is said from now on, also on a watch that is open.
+    /// Corruption from now on, also on an open watch.
     spoils: Option<Spoils>,
-    /// Before it answers a call, it waits for so long.
+    /// Delay before each answer.
     late: Option<Duration>,
     /// Nothing listens.
     refuses: bool,
@@ -94,7 +94,7 @@
                 let accepted = match &listener {
                     Some(listener) => listener.accept(),
                     None => TcpListener::bind(address).map(|bound| listener = Some(bound)).and_then(|()| {
-                        // Whoever waits is accepted in the next round.
+                        // Waiting connections are accepted in the next round.
                         Err(std::io::ErrorKind::WouldBlock.into())
                     }),
                 };
@@ -130,22 +130,22 @@
         self.shared.turned.notify_all();
     }
 
-    /// From now on it has this list.
+    /// Sets the list.
     pub fn has(&self, entries: Vec<String>) {
         self.change(|state| (state.version, state.entries) = (state.version + 2, entries));
     }
 
-    /// All that are connected fall silent for good, as do so many of those that come next.
+    /// Silences all connections for good, and this many of the next ones.
     pub fn falls_silent(&self, next: usize) {
         self.change(|state| (state.mute_below, state.mute_next) = (state.connections, next));
     }
 
-    /// It accepts all that comes and says nothing, until told otherwise; what was connected meanwhile stays silent.
+    /// Accepts connections and stays silent until told otherwise; connections made meanwhile stay silent.
     pub fn says_nothing(&self, nothing: bool) {
         self.change(|state| (state.mute_all, state.mute_below) = (nothing, state.connections));
     }
 
-    /// It ends all connections.
+    /// Closes all connections.
     pub fn ends_all(&self) {
         self.change(|state| state.ended_below = state.connections);
     }
@@ -154,12 +154,12 @@
         self.change(|state| (state.indented, state.pause) = (true, pause));
     }
 
-    /// What it says from now on is spoilt, until told otherwise.
+    /// Corrupts its output from now on, until told otherwise.
     pub fn spoils(&self, how: Option<Spoils>) {
         self.change(|state| state.spoils = how);
     }
 
-    /// It ends all connections, and in the same moment it has another list.
+    /// Closes all connections, and changes the list at the same moment.
     pub fn has_and_ends_all(&self, entries: Vec<String>) {
         self.change(|state| {
             (state.version, state.entries) = (state.version + 2, entries);
@@ -167,34 +167,34 @@
         });
     }
 
-    /// It has another list, and spoils what it says from the same moment on.
+    /// Changes the list, and corrupts its output from the same moment.
     pub fn has_and_spoils(&self, entries: Vec<String>, how: Spoils) {
         self.change(|state| {
             (state.version, state.entries, state.spoils) = (state.version + 2, entries, Some(how));
         });
     }
 
-    /// It numbers its lists anew, from below.
+    /// Restarts the numbering of lists from a lower number.
     pub fn numbers_anew(&self, entries: Vec<String>) {
         self.change(|state| (state.version, state.entries) = (3, entries));
     }
 
-    /// Every call is answered so late.
+    /// Delays every answer.
     pub fn answers_late(&self, late: Duration) {
         self.change(|state| state.late = Some(late));
     }
 
-    /// Nothing listens, and all connections end, until told otherwise.
+    /// Stops listening and closes all connections until told otherwise.
     pub fn refuses(&self, refuses: bool) {
         self.change(|state| (state.refuses, state.ended_below) = (refuses, state.connections));
         if refuses {
-            until("no listener", || TcpStream::connect(self.address).is_err());
+            wait_until("no listener", || TcpStream::connect(self.address).is_err());
         } else {
-            until("the listener", || TcpStream::connect(self.address).is_ok());
+            wait_until("the listener", || TcpStream::connect(self.address).is_ok());
         }
     }
 
-    /// Fills the queue of connections, so that no further one comes up; it goes on once told so.
+    /// Fills the listen queue so that no further connection comes up, until told otherwise.
     pub fn stalls(&self) -> Vec<TcpStream> {
         self.change(|state| state.stalls = true);
         let connect = || TcpStream::connect_timeout(&self.address, Duration::from_millis(300)).ok();
@@ -206,10 +206,10 @@
         self.change(|state| state.stalls = false);
     }
 
-    /// Waits for the next sign of life, from which on a silence lasts longest.
+    /// Waits for the next sign of life, after which a silence lasts longest.
     pub fn after_a_beat(&self) {
         let before = self.shared.lock().wrote;
-        until("a beat", || self.shared.lock().wrote > before);
+        wait_until("a beat", || self.shared.lock().wrote > before);
     }
 
     pub fn connections(&self) -> usize {
@@ -220,7 +220,7 @@
 fn talk(shared: &Shared, number: usize, mut stream: TcpStream) -> Option<()> {
     let mut request = Vec::new();
     let mut byte = [0];
-    // The last byte is left unread for now: closing over it resets the connection.
+    // The last byte stays unread for now: closing over it resets the connection.
     while !request.ends_with(b"\r\n\r") {
         stream.read_exact(&mut byte).ok()?;
         request.push(byte[0]);
@@ -272,7 +272,7 @@
         if let Some(spoils) = state.spoils {
             let text = list(&state) + "\n";
             drop(state);
-            // One chunk that is longer than all that will be said.
+            // A single chunk longer than all output.
             return spoil(shared, stream, spoils, "3fffff\r\n", &text, &text);
         }
         let news = (state.version != told).then(|| list(&state) + "\n");
@@ -299,7 +299,8 @@
     }
 }
 
-/// Says a list, or begins to, and ends as it is spoilt. Of `part` only those know who take what a reset cut off.
+/// Writes a list, or begins to, and ends it as corrupted. Only a client that uses data cut off by a reset learns of
+/// `part`.
 fn spoil(
     shared: &Shared,
     mut stream: TcpStream,
@@ -350,7 +351,7 @@
             stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).ok()?;
         },
     }
-    // What is out has to be read before the reset comes.
+    // Pending data has to be read before the reset.
     std::thread::sleep(Duration::from_millis(50));
     None
 }
@@ -364,7 +365,7 @@
     Some(())
 }
 
-/// Holds a connection without a word until the other side ends it.
+/// Keeps a connection open silently until the other side closes it.
 fn silent(mut stream: TcpStream) -> Option<()> {
     while matches!(stream.read(&mut [0]), Ok(1)) {}
     None
@@ -381,16 +382,16 @@
     }
 }
 
-/// A primary, and a replica that the list calls draining later on: reads that reach it then show what was not known.
+/// A primary, and a replica that the list later calls draining: reads that reach it then show an unknown change.
 pub struct Rig {
-    pub primary: Server,
-    pub replica: Server,
+    pub primary: ScriptedServer,
+    pub replica: ScriptedServer,
 }
 
 impl Rig {
     pub fn new() -> Rig {
-        let value = || vec![Does::Answers(b"\x9f\0\x03".to_vec())];
-        Rig { primary: Server::start(true, value()), replica: Server::start(false, value()) }
+        let value = || vec![Reaction::Answers(b"\x9f\0\x03".to_vec())];
+        Rig { primary: ScriptedServer::start(true, value()), replica: ScriptedServer::start(false, value()) }
     }
 
     pub fn entries(&self, replica: &str) -> Vec<String> {
@@ -401,7 +402,7 @@
         Agent::start(self.entries("up"))
     }
 
-    /// Reads for so long, each answered; tells how many reached the replica.
+    /// Sends reads for this long, each answered; returns how many reached the replica.
     pub fn reads_for(&self, gateway: &Gateway, time: Duration) -> usize {
         let (mut client, began, before) = (gateway.client(), Instant::now(), self.replica.asked().len());
         for id in 1.. {
@@ -415,7 +416,7 @@
         self.replica.asked().len() - before
     }
 
-    /// Reads on and on until a second after the bound; tells when the last one reached the replica.
+    /// Sends reads until a second after the deadline; returns when the last one reached the replica.
     pub fn last_read_at_the_replica(&self, gateway: &Gateway, since: Instant, bound: Duration) -> Duration {
         let mut client = gateway.client();
         let mut last = Duration::ZERO;
--- a/crates/cli/tests/rig/mod.rs
+++ b/crates/cli/tests/rig/mod.rs
@@ -14,7 +14,7 @@
 
 pub const MS: Duration = Duration::from_millis(1);
 
-/// One gateway process.
+/// A gateway process.
 pub struct Gateway {
     pub address: SocketAddr,
     pub control: PathBuf,
@@ -25,7 +25,7 @@
 impl Gateway {
     pub fn start(number: usize, of: usize, discovery: SocketAddr, holds: bool) -> Gateway {
         let folder = tempfile::tempdir().expect("a folder");
-        // An address of its own: where all others connect from, the port could be given to one of them before it
+        // An address of its own: on a shared one, another test could be given the port before it
         // listens.
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let own = NUMBER.fetch_add(1, Ordering::SeqCst);
@@ -85,7 +85,7 @@
         std::fs::read_to_string(self.folder.path().join("log")).unwrap_or_default()
     }
 
-    /// A line to the control socket, and its answer.
+    /// Sends a line to the control socket and returns the answer.
     pub fn control(&self, line: &str) -> String {
         let mut stream = UnixStream::connect(&self.control).expect("the socket");
         stream.set_read_timeout(Some(Duration::from_secs(5))).expect("a bound");
@@ -99,7 +99,7 @@
         serde_json::from_str(&self.control(&word.to_string())).expect("JSON")
     }
 
-    /// How a shard stands.
+    /// State of a shard.
     pub fn shard(&self, shard: usize) -> Json {
         let status = self.say(json!({"do": "status"}));
         let shards = status["shards"].as_array().cloned().unwrap_or_default();
@@ -115,7 +115,7 @@
         self.child.wait().is_ok_and(|status| status.success())
     }
 
-    /// Resident memory, in bytes.
+    /// Resident memory in bytes.
     pub fn memory(&self) -> usize {
         let text = std::fs::read_to_string(format!("/proc/{}/statm", self.child.id())).unwrap_or_default();
         text.split(' ').nth(1).and_then(|pages| pages.parse::<usize>().ok()).unwrap_or(0) * 4_096
--- a/crates/cli/tests/scout.rs
+++ b/crates/cli/tests/scout.rs
@@ -1,27 +1,27 @@
-//! Six processes of which one probes for all what is down: fewer probes reach it, it is found back in time, and a
-//! scout that is lost, stands still or is not heard leaves the others to probe by themselves.
+//! Shared probing with six processes: fewer probes reach a server that is down, its return is noticed in time, and if
+//! the duty's holder is lost, paused or unreachable, the others probe by themselves.
 
 use std::path::Path;
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
 use serde_json::{Value as Json, json};
-use tansyjunction_rig::{Council, Ground, Plan};
+use tansyjunction_rig::{Council, Plan, Scenario};
 use tansyjunction_standin::{Death, Store};
 
 const GATEWAYS: usize = 6;
 /// A replica of shard 0.
 const DOWN: usize = 1;
 const DUTY: &str = "scout/0";
-/// How old a scout's word may be.
+/// Largest age of a holder's result.
 const WORD_MS: u64 = 2_500;
-/// The program's own, beyond the longest pause that routers make between two probes of what is down.
+/// The program's default, above the longest interval between probes of a server that is down.
 const WORD_OWN_MS: u64 = 6_000;
-/// A gateway that has been spared a probe is spared the next one so much later at the earliest: asked for sooner it
+/// A gateway whose probe was replaced has the next one replaced after this time at the earliest: requested sooner, it
 /// is sent.
 const SPARED_EVERY_MS: u64 = 500;
 
-/// One test at a time: routers that get no time to serve commands probe more seldom than the word is old.
+/// One test at a time: starved routers would probe less often than results expire.
 static ALONE: Mutex<()> = Mutex::new(());
 
 fn alone() -> MutexGuard<'static, ()> {
@@ -29,15 +29,15 @@
 }
 
 /// Gateways under payments, with a replica that has just died.
-fn one_down(scout: bool) -> Ground {
+fn one_down(scout: bool) -> Scenario {
     one_down_by(Council { scout_word_ms: scout.then_some(WORD_MS), ..Council::default() })
 }
 
-fn one_down_by(council: Council) -> Ground {
+fn one_down_by(council: Council) -> Scenario {
     let scout = council.scout_word_ms.is_some();
     let plan = Plan { gateways: GATEWAYS, council: Some(council), ..Plan::default() };
     let mut ground =
-        Ground::start(Path::new(env!("CARGO_BIN_EXE_tansyjunction")), &plan).expect("they agree");
+        Scenario::start(Path::new(env!("CARGO_BIN_EXE_tansyjunction")), &plan).expect("they agree");
     ground.load(3);
     let all: Vec<usize> = (0..GATEWAYS).collect();
     so(&ground, "each finds it well", |ground| all.iter().all(|n| found(ground, *n) == "Answers"));
@@ -49,7 +49,7 @@
     ground
 }
 
-fn so(ground: &Ground, what: &str, so: impl Fn(&Ground) -> bool) -> Duration {
+fn so(ground: &Scenario, what: &str, so: impl Fn(&Scenario) -> bool) -> Duration {
     let began = Instant::now();
     if let Err(message) = ground.until(what, |ground| so(ground).then_some(())) {
         panic!("{message}");
@@ -57,8 +57,8 @@
     began.elapsed()
 }
 
-/// How a gateway itself found the replica last.
-fn found(ground: &Ground, number: usize) -> String {
+/// How a gateway itself last found the replica.
+fn found(ground: &Scenario, number: usize) -> String {
     let status = ground.fleet.ask(number, &json!({"do": "fellows"})).unwrap_or_default();
     let (own, server) = (&ground.fleet.gateways[number].name, Store::name(DOWN));
     let facts = status["evidence"].as_array().cloned().unwrap_or_default();
@@ -71,26 +71,26 @@
     facts.iter().find(reach).and_then(|item| item["fact"].as_str()).unwrap_or_default().into()
 }
 
-/// Of the replica's group: probes that a gateway has sent, and those that it was spared.
-fn counts(ground: &Ground, number: usize) -> (u64, u64) {
+/// Probes of the replica's group that a gateway has sent, and those that were replaced.
+fn counts(ground: &Scenario, number: usize) -> (u64, u64) {
     let status = ground.status(number).unwrap_or_default();
     let groups = status["scouted"].as_array().cloned().unwrap_or_default();
     let group = groups.iter().find(|group| group["group"] == "0").cloned().unwrap_or_default();
     (group["probes"].as_u64().unwrap_or(0), group["spared"].as_u64().unwrap_or(0))
 }
 
-fn spared(ground: &Ground, who: &[usize]) -> u64 {
+fn spared(ground: &Scenario, who: &[usize]) -> u64 {
     who.iter().map(|number| counts(ground, *number).1).sum()
 }
 
-/// The replica comes back: each of these finds it so, and is spared no more probes meanwhile than a word from before
-/// can spare it. That is what the scout may cost them, whatever the machine costs: the word's age is told by their
-/// own clocks.
-fn comes_back(ground: &Ground, who: &[usize], word_ms: u64) -> Duration {
+/// The replica returns: each of these gateways notices, and no more of its probes are replaced meanwhile than results
+/// from before the return allow. This is the cost of shared probing, however slow the machine: ages are measured by
+/// the gateways' own clocks.
+fn comes_back(ground: &Scenario, who: &[usize], word_ms: u64) -> Duration {
     let before: Vec<u64> = who.iter().map(|n| counts(ground, *n).1).collect();
-    ground.store.back(DOWN, true);
+    ground.store.restart(DOWN, true);
     let took = so(ground, "each finds it back", |ground| who.iter().all(|n| found(ground, *n) == "Answers"));
-    // One from before that was not told yet, and one at the very beginning.
+    // One from before that was not reported yet, and one at the very beginning.
     let most = word_ms / SPARED_EVERY_MS + 2;
     for (number, before) in who.iter().zip(before) {
         let spared = counts(ground, *number).1 - before;
@@ -99,13 +99,12 @@
     took
 }
 
-fn finish(ground: Ground) {
+fn finish(ground: Scenario) {
     let played = ground.finish().expect("the rig works");
     assert_eq!(played.broken, Vec::<String>::new());
 }
 
-/// Both at the same time, so that the machine is as busy to one as to the other, for as long as it takes until each
-/// has asked for some probes.
+/// Both at the same time, so that the machine is equally busy for both, until each has requested some probes.
 #[test]
 fn fewer_probes_reach_what_is_down_and_all_find_it_back() {
     let _alone = alone();
@@ -132,9 +131,10 @@
     assert!(reached[0] > 0 && reached[0] * 2 < reached[1], "{reached:?}");
 }
 
-/// The scout is lost by `lose`: the others probe by themselves once its word is too old, another one is elected, and
-/// they are spared again. The replica comes back meanwhile or not, and each that runs finds it.
-fn lost(lose: impl Fn(&mut Ground, usize)) -> (Ground, usize) {
+/// The holder is lost by `lose`: the others probe by themselves once its result is too old, another holder is
+/// elected, and their probes are replaced again. Whether or not the replica returns meanwhile, each running gateway
+/// notices.
+fn lost(lose: impl Fn(&mut Scenario, usize)) -> (Scenario, usize) {
     let mut ground = one_down(true);
     let (scout, epoch) = ground.holder(DUTY).expect("one scouts");
     let others = ground.others(scout);
@@ -168,10 +168,10 @@
 #[test]
 fn a_scout_that_nobody_hears_is_replaced() {
     let _alone = alone();
-    finish(lost(Ground::mute).0);
+    finish(lost(Scenario::drop_outgoing).0);
 }
 
-/// What it says still arrives, so that it may stay the scout or not: either way nobody is misled for long.
+/// Its results still arrive, so it may or may not stay the holder: in either case nobody is misled for long.
 #[test]
 #[ignore = "the long form: one that is not heard is the harder case"]
 fn a_scout_that_hears_nobody_misleads_nobody() {
@@ -180,19 +180,19 @@
     let (scout, _) = ground.holder(DUTY).expect("one scouts");
     let others = ground.others(scout);
     so(&ground, "they are spared", |ground| others.iter().all(|n| counts(ground, *n).1 > 0));
-    ground.deafen(scout);
-    // Deaf for longer than its lease lasts, and than a word does.
+    ground.drop_incoming(scout);
+    // Unable to receive for longer than its lease and the age of results.
     std::thread::sleep(Duration::from_millis(WORD_MS));
     let all: Vec<usize> = (0..GATEWAYS).collect();
     comes_back(&ground, &all, WORD_MS);
     finish(ground);
 }
 
-/// From now on each of these sends probes, and is spared none.
-fn by_themselves(ground: &Ground, who: &[usize]) {
+/// From now on each of these gateways sends its probes, and none is replaced.
+fn by_themselves(ground: &Scenario, who: &[usize]) {
     let reached = ground.store.in_vain(DOWN);
     let now: Vec<(u64, u64)> = who.iter().map(|n| counts(ground, *n)).collect();
-    // Counts are told now and then: those that are told next hold all that was before now.
+    // Counts are reported periodically: the next report includes everything before now.
     so(ground, "each tells anew", |ground| who.iter().zip(&now).all(|(n, now)| counts(ground, *n) != *now));
     let before: Vec<(u64, u64)> = who.iter().map(|n| counts(ground, *n)).collect();
     so(ground, "each probes", |ground| {
@@ -205,7 +205,7 @@
     so(ground, "they reach it", |ground| ground.store.in_vain(DOWN) >= reached + who.len() as u64);
 }
 
-/// A scout dies that holds the duty for long yet: nobody waits for its lease.
+/// A holder with a long lease dies: nobody waits for the lease.
 #[test]
 fn once_its_word_is_too_old_the_others_probe_by_themselves() {
     let _alone = alone();
@@ -216,7 +216,7 @@
     let others = ground.others(scout);
     so(&ground, "they are spared", |ground| others.iter().all(|n| counts(ground, *n).1 > 0));
     ground.fleet.kill(scout);
-    // The promise itself: from its last probe on, which was before this, its word counts for so long.
+    // The guarantee itself: counted from its last probe, which was before now, its result is used for this long.
     std::thread::sleep(Duration::from_millis(WORD_MS));
     by_themselves(&ground, &others);
     comes_back(&ground, &others, WORD_MS);
@@ -224,7 +224,7 @@
     finish(ground);
 }
 
-/// Without a council nobody is replaced: whoever is left probes as without a scout, and finds what is back.
+/// Without consensus no holder is replaced: the others probe by themselves and notice the return.
 #[test]
 fn without_a_council_each_probes_by_itself() {
     let _alone = alone();
--- a/crates/cli/tests/serving.rs
+++ b/crates/cli/tests/serving.rs
@@ -1,4 +1,4 @@
-//! The program on sockets, between stand-ins for clients, servers and discovery.
+//! The program on sockets between stand-ins for clients, servers and discovery.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -9,30 +9,30 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_tansyjunction");
 
-/// A gateway between one primary and one replica that keep to these scripts.
-fn gateway(primary: &Server, replica: &Server) -> (Gateway, std::sync::mpsc::Sender<String>) {
+/// A gateway between a primary and a replica that follow these scripts.
+fn gateway(primary: &ScriptedServer, replica: &ScriptedServer) -> (Gateway, std::sync::mpsc::Sender<String>) {
     let entries = [entry("s1", primary.address, "up", true), entry("s2", replica.address, "up", false)];
     let (discovery, changes) = discovery(list(1, true, &entries));
     (Gateway::start(PROGRAM, discovery), changes)
 }
 
-/// Asks until it is not throttled, as clients do. A command that a busy machine makes late, by a quarter of its
-/// response target, is throttled by right; a gateway that has no other answer is found out by the bound.
+/// Repeats until the answer is not throttled, as clients do. A command delayed by a busy machine by a quarter of its
+/// response target is rightly throttled; a gateway without any other answer fails by the timeout.
 fn ask(client: &mut Client, statement: &str) -> Reply {
     let began = Instant::now();
     loop {
         let reply = client.ask(statement);
-        if !reply.throttled() || began.elapsed() > BOUND {
+        if !reply.throttled() || began.elapsed() > WAIT_TIMEOUT {
             return reply;
         }
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Sends a statement and waits until it has reached a server; likewise again where it is throttled before.
+/// Sends a statement and waits until it has reached a server; also repeats if throttled before.
 fn send(client: &mut Client, statement: &str, reached: impl Fn() -> bool) {
     client.send(statement);
-    until("the statement at a server", || {
+    wait_until("the statement at a server", || {
         client.stream.set_nonblocking(true).expect("a socket");
         let answered = client.stream.peek(&mut [0]).is_ok();
         client.stream.set_nonblocking(false).expect("a socket");
@@ -45,15 +45,15 @@
     });
 }
 
-fn value() -> Does {
-    Does::Answers(b"\x9f\0\x03".to_vec())
+fn value() -> Reaction {
+    Reaction::Answers(b"\x9f\0\x03".to_vec())
 }
 
 #[test]
 fn a_command_is_answered_as_its_servers_outcomes_allow() {
     let served = || Reply::Value(b"\x9f\0\x03".to_vec());
     let failed = || Reply::Error("58000".into(), None);
-    // What is asked, what the primary and the replica do, the reply, and how many statements reach each.
+    // The command, reactions of primary and replica, the answer, and the number of statements at each.
     for (what, statement, primary, replica, expected, reached) in [
         ("a read", read(1), vec![value()], vec![value()], served(), [0, 1]),
         ("a write", write(2), vec![value()], vec![value()], served(), [1, 0]),
@@ -61,7 +61,7 @@
             "a read that errs on the replica",
             read(3),
             vec![value()],
-            vec![Does::Errs("XX000")],
+            vec![Reaction::Errs("XX000")],
             served(),
             [1, 1],
         ),
@@ -69,15 +69,22 @@
             "a read that the replica misses",
             read(4),
             vec![value()],
-            vec![Does::Errs("72000")],
+            vec![Reaction::Errs("72000")],
+            served(),
+            [1, 1],
+        ),
+        (
+            "a read reset after its last byte",
+            read(5),
+            vec![value()],
+            vec![Reaction::Breaks],
             served(),
             [1, 1],
         ),
-        ("a read reset after its last byte", read(5), vec![value()], vec![Does::Breaks], served(), [1, 1]),
         (
             "a write that was turned away",
             write(6),
-            vec![Does::Errs("53300"), value()],
+            vec![Reaction::Errs("53300"), value()],
             vec![value()],
             served(),
             [2, 0],
@@ -85,7 +92,7 @@
         (
             "a write that may have run",
             write(7),
-            vec![Does::Errs("XX000"), value()],
+            vec![Reaction::Errs("XX000"), value()],
             vec![value()],
             failed(),
             [1, 0],
@@ -93,7 +100,7 @@
         (
             "a write reset after its last byte",
             write(8),
-            vec![Does::Breaks, value()],
+            vec![Reaction::Breaks, value()],
             vec![value()],
             failed(),
             [1, 0],
@@ -102,16 +109,16 @@
             "a read at a server that talks nonsense",
             read(9),
             vec![value()],
-            vec![Does::Says(vec![b'D'; 40])],
+            vec![Reaction::Says(vec![b'D'; 40])],
             served(),
             [1, 1],
         ),
     ] {
-        // A command that the machine makes late, by a quarter of its response target, is throttled by right, which
-        // tells nothing here: it is played again from the start.
+        // A command delayed by the machine by a quarter of its response target is rightly throttled, which is no
+        // evidence here: the case is repeated from the start.
         let play = || {
             let (primary, replica) =
-                (Server::start(true, primary.clone()), Server::start(false, replica.clone()));
+                (ScriptedServer::start(true, primary.clone()), ScriptedServer::start(false, replica.clone()));
             let (gateway, _changes) = gateway(&primary, &replica);
             let reply = gateway.client().ask(&statement);
             (primary, replica, reply)
@@ -121,7 +128,7 @@
             (1..TRIES).map(|_| play()).find(|(.., reply)| !reply.throttled()).unwrap_or_else(play);
         assert_eq!(reply, expected, "{what}");
         assert_eq!([primary.asked().len(), replica.asked().len()], reached, "{what}");
-        // All but the wait goes on as it came.
+        // Everything but the timeout is forwarded unchanged.
         let unchanged = statement.split("d=1500").collect::<Vec<_>>();
         for asked in primary.asked().iter().chain(&replica.asked()) {
             assert!(
@@ -132,13 +139,14 @@
     }
 }
 
-/// Guards against spoilt answers, which may come from any server, shutting one server after the other, and against
-/// what stands behind a good answer being taken for the next one's.
+/// Invalid answers, which may come from any server, must not take out one server after the other; and data behind a
+/// valid answer must not be used as the next one.
 #[test]
 fn a_spoilt_answer_costs_no_more_than_its_connection() {
-    let spoilt = Does::Says(message(b'D', b"\0\x01\0\0\0\x09hi"));
+    let spoilt = Reaction::Says(message(b'D', b"\0\x01\0\0\0\x09hi"));
     let script = vec![spoilt, value()];
-    let (primary, replica) = (Server::start(true, script.clone()), Server::start(false, script));
+    let (primary, replica) =
+        (ScriptedServer::start(true, script.clone()), ScriptedServer::start(false, script));
     let (gateway, _changes) = gateway(&primary, &replica);
     let mut client = gateway.client();
     assert!(matches!(client.ask(&read(1)), Reply::Error(..)));
@@ -146,9 +154,9 @@
         assert!(matches!(ask(&mut client, &read(id)), Reply::Value(_)));
     }
     assert_eq!([primary.asked().len(), replica.asked().len()], [1, 11]);
-    // Every answer brings a second copy of itself and noise, and is passed on once.
+    // Every answer is followed by a copy of itself and noise, and is forwarded once.
     let twice = [row(b"one"), message(b'Z', b"I"), row(b"one"), b"noise".to_vec()].concat();
-    let replica = Server::start(false, vec![Does::Says(twice)]);
+    let replica = ScriptedServer::start(false, vec![Reaction::Says(twice)]);
     let (gateway, _changes) = self::gateway(&primary, &replica);
     let mut client = gateway.client();
     for id in 20..30 {
@@ -158,30 +166,30 @@
     assert_eq!(replica.asked().len(), 10);
 }
 
-/// Guards against a server taken for gone that resets some new connections and ends those that it has answered on.
+/// A server that resets some new connections, and closes others after an answer, must not count as gone.
 #[test]
 fn a_server_that_ends_connections_goes_on_serving() {
-    let primary = Server::start(true, vec![value()]);
-    let replica = Server::start(false, vec![Does::AnswersOnce(b"once".to_vec())]);
+    let primary = ScriptedServer::start(true, vec![value()]);
+    let replica = ScriptedServer::start(false, vec![Reaction::AnswersOnce(b"once".to_vec())]);
     let (gateway, _changes) = gateway(&primary, &replica);
     let mut client = gateway.client();
-    // A statement may cross the end of its connection and go on to the primary, as one may for which a busy machine
-    // makes the replica slow. One that is taken for gone would get none for two seconds each time, and no twenty in
-    // the bound.
+    // A statement may cross the end of its connection and go to the primary, or to it because the machine makes the
+    // replica slow. A replica that counts as gone would get none for two seconds each time, and could not reach
+    // twenty within the timeout.
     let mut id = 0;
-    until("reads at the replica", || {
+    wait_until("reads at the replica", || {
         id += 1;
         assert!(matches!(ask(&mut client, &read(id)), Reply::Value(_)), "{id}");
         replica.asked().len() >= 20
     });
 }
 
-/// Guards against a dispatch that never left being taken for one that may have run.
+/// A dispatch that was never sent must not count as possibly executed.
 #[test]
 fn a_write_goes_on_to_the_next_primary_when_the_known_one_is_not_there() {
-    // Not at the address where all others listen: the gateway itself could be given the port that was free.
+    // Not at the address that all others listen on: the gateway itself could get the free port.
     let dead = std::net::TcpListener::bind("127.0.0.2:0").and_then(|l| l.local_addr()).expect("a free port");
-    let replica = Server::start(true, vec![value()]);
+    let replica = ScriptedServer::start(true, vec![value()]);
     let entries = [entry("s1", dead, "up", true), entry("s2", replica.address, "up", false)];
     let (discovery, _changes) = discovery(list(1, true, &entries));
     let gateway = Gateway::start(PROGRAM, discovery);
@@ -191,13 +199,14 @@
 
 #[test]
 fn a_drained_replica_gets_nothing_new() {
-    let (primary, replica) = (Server::start(true, vec![value()]), Server::start(false, vec![value()]));
+    let (primary, replica) =
+        (ScriptedServer::start(true, vec![value()]), ScriptedServer::start(false, vec![value()]));
     let (gateway, changes) = gateway(&primary, &replica);
     let mut client = gateway.client();
     ask(&mut client, &read(1));
     changes.send(list(2, false, &[entry("s2", replica.address, "draining", false)])).expect("a watch");
     let mut id = 1;
-    until("reads at the primary", || {
+    wait_until("reads at the primary", || {
         id += 1;
         assert!(matches!(ask(&mut client, &read(id)), Reply::Value(_)));
         !primary.asked().is_empty()
@@ -207,29 +216,31 @@
     assert_eq!(replica.asked().len(), before);
 }
 
-/// Guards against probes that stop after the first because commands go uncounted: the first question about a command
-/// has to be asked at the time of its arrival.
+/// Probes must not stop after the first because commands are not counted: the router must be asked about a command
+/// first at its arrival time.
 #[test]
 fn servers_are_probed_as_long_as_commands_come() {
-    let (primary, replica) = (Server::start(true, vec![value()]), Server::start(false, vec![value()]));
+    let (primary, replica) =
+        (ScriptedServer::start(true, vec![value()]), ScriptedServer::start(false, vec![value()]));
     let (gateway, _changes) = gateway(&primary, &replica);
     let mut client = gateway.client();
     let mut id = 0;
-    until("three probes of each", || {
+    wait_until("three probes of each", || {
         id += 1;
         assert!(matches!(ask(&mut client, &read(id)), Reply::Value(_)));
         primary.probes() >= 3 && replica.probes() >= 3
     });
 }
 
-/// Guards against lost framing at one client that reaches another, and against panics on anything read.
+/// A client with broken framing must not affect another one, and no input may cause a panic.
 #[test]
 fn a_bad_message_ends_at_most_its_own_connection() {
-    let (primary, replica) = (Server::start(true, vec![value()]), Server::start(false, vec![value()]));
+    let (primary, replica) =
+        (ScriptedServer::start(true, vec![value()]), ScriptedServer::start(false, vec![value()]));
     let (gateway, _changes) = gateway(&primary, &replica);
     let statement = |text: &str| message(b'Q', format!("{text}\0").as_bytes());
     let select = "SELECT v FROM records WHERE k = '7f'";
-    // What is sent, the code that answers it, and whether the connection serves on.
+    // Input, SQLSTATE of the answer, and whether the connection continues.
     for (what, bytes, code, serves_on) in [
         ("no comment", statement(select), "42601", true),
         ("no id", statement(&format!("{select} /* c=look,d=9 */")), "42601", true),
@@ -257,7 +268,7 @@
         ("a prepared statement", [message(b'P', b"\0\0\0\0"), message(b'S', b"")].concat(), "0A000", true),
         ("an unknown type", message(b'?', b""), "08P01", false),
         ("a length below its own", b"Q\0\0\0\x03".to_vec(), "08P01", false),
-        // What stands behind must not reset the connection before its last answer is read.
+        // Data behind it must not reset the connection before its last answer is read.
         ("more behind", [b"Q\xff\0\0\x03".to_vec(), vec![b'x'; 400_000]].concat(), "08P01", false),
     ] {
         let mut client = gateway.client();
@@ -268,10 +279,11 @@
     }
 }
 
-/// Guards against silent clients that hold their descriptors for good.
+/// Silent clients must not hold their descriptors forever.
 #[test]
 fn what_is_not_finished_in_time_is_ended_with_an_error() {
-    let (primary, replica) = (Server::start(true, vec![value()]), Server::start(false, vec![value()]));
+    let (primary, replica) =
+        (ScriptedServer::start(true, vec![value()]), ScriptedServer::start(false, vec![value()]));
     let (gateway, _changes) = gateway(&primary, &replica);
     let began = Instant::now();
     let startup = b"\0\0\0\x20\0\x03\0\0user\0svc\0database\0main\0\0";
@@ -279,7 +291,7 @@
     let unfinished = [&b""[..], b"\0\0\0\x20", &startup[..31], &[&startup[..], &query[..50]].concat()];
     let clients = unfinished.map(|bytes| {
         let mut stream = TcpStream::connect(gateway.address).expect("the gateway listens");
-        stream.set_read_timeout(Some(BOUND)).expect("a bound");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a bound");
         stream.write_all(bytes).expect("it is sent");
         Client { stream }
     });
@@ -292,15 +304,16 @@
         assert_eq!(said, Reply::Error("08P01".into(), None), "{bytes:?}");
         assert_eq!(client.reply(), Reply::Ended);
     }
-    // The promise itself: a startup or message has 2.5 s to come in whole.
+    // The guarantee: a startup or message must be complete within 2.5 s.
     assert!(began.elapsed() < Duration::from_secs(4), "{:?}", began.elapsed());
 }
 
-/// Guards against a command that takes part in another client's by its id.
+/// A command must not interfere with another client's command of the same id.
 #[test]
 fn an_id_is_not_taken_twice_at_once() {
-    let late = Does::AnswersLate(b"late".to_vec(), Duration::from_millis(300));
-    let (primary, replica) = (Server::start(true, vec![late]), Server::start(false, vec![value()]));
+    let late = Reaction::AnswersLate(b"late".to_vec(), Duration::from_millis(300));
+    let (primary, replica) =
+        (ScriptedServer::start(true, vec![late]), ScriptedServer::start(false, vec![value()]));
     let (gateway, _changes) = gateway(&primary, &replica);
     let (mut first, mut second) = (gateway.client(), gateway.client());
     send(&mut first, &write(1), || primary.asked().len() == 1);
@@ -310,10 +323,11 @@
     assert_eq!(primary.asked().len(), 2);
 }
 
-/// Guards against a client that sends without end and has the gateway to itself.
+/// A client that sends continuously must not monopolise the gateway.
 #[test]
 fn a_client_that_sends_without_end_does_not_keep_the_others_waiting() {
-    let (primary, replica) = (Server::start(true, vec![value()]), Server::start(false, vec![value()]));
+    let (primary, replica) =
+        (ScriptedServer::start(true, vec![value()]), ScriptedServer::start(false, vec![value()]));
     let (gateway, _changes) = gateway(&primary, &replica);
     let (flood, mut other) = (gateway.client(), gateway.client());
     let (mut reading, mut writing) = (flood.stream.try_clone().expect("a clone"), flood.stream);
@@ -329,7 +343,8 @@
 
 #[test]
 fn messages_may_come_in_pieces_and_ahead() {
-    let (primary, replica) = (Server::start(true, vec![value()]), Server::start(false, vec![value()]));
+    let (primary, replica) =
+        (ScriptedServer::start(true, vec![value()]), ScriptedServer::start(false, vec![value()]));
     let (gateway, _changes) = gateway(&primary, &replica);
     let mut client = gateway.client();
     let ahead: Vec<u8> = [read(1), String::new(), write(2)]
@@ -342,7 +357,7 @@
     }
     let replies = [client.reply(), client.reply(), client.reply()];
     assert!(matches!(replies, [Reply::Value(_), Reply::Empty, Reply::Value(_)]), "{replies:?}");
-    // Encryption is declined, and the startup goes on.
+    // Encryption is declined, and the startup continues.
     let mut stream = TcpStream::connect(gateway.address).expect("the gateway listens");
     stream.write_all(b"\0\0\0\x08\x04\xd2\x16\x2f").expect("it is sent");
     let mut byte = [0];
@@ -350,11 +365,12 @@
     assert_eq!(&byte, b"N");
 }
 
-/// Guards against a client's end that is noticed only when its answer comes, and an answer that reaches the next.
+/// A client's end must be noticed before its answer, and its answer must not reach the next client.
 #[test]
 fn a_client_that_leaves_takes_nothing_with_it() {
-    let late = Does::AnswersLate(b"late".to_vec(), Duration::from_millis(150));
-    let (primary, replica) = (Server::start(true, vec![value()]), Server::start(false, vec![late, value()]));
+    let late = Reaction::AnswersLate(b"late".to_vec(), Duration::from_millis(150));
+    let (primary, replica) =
+        (ScriptedServer::start(true, vec![value()]), ScriptedServer::start(false, vec![late, value()]));
     let (gateway, _changes) = gateway(&primary, &replica);
     let mut leaving = gateway.client();
     send(&mut leaving, &read(1), || replica.asked().len() == 1);
@@ -365,11 +381,12 @@
     }
 }
 
-/// Guards against commands lost at a planned restart: those in hand, and those on connections that still come.
+/// No commands may be lost in a planned restart: pending ones, and those on connections that still arrive.
 #[test]
 fn after_sigterm_all_that_comes_is_answered_and_then_it_ends_well() {
-    let late = Does::AnswersLate(b"late".to_vec(), Duration::from_millis(900));
-    let (primary, replica) = (Server::start(true, vec![late]), Server::start(false, vec![value()]));
+    let late = Reaction::AnswersLate(b"late".to_vec(), Duration::from_millis(900));
+    let (primary, replica) =
+        (ScriptedServer::start(true, vec![late]), ScriptedServer::start(false, vec![value()]));
     let (mut gateway, _changes) = gateway(&primary, &replica);
     let (mut busy, mut open) = (gateway.client(), gateway.client());
     send(&mut busy, &write(1), || primary.asked().len() == 1);
@@ -378,8 +395,8 @@
     gateway.signal("TERM");
     assert!(matches!(ask(&mut open, &read(2)), Reply::Value(_)));
     assert!(matches!(ask(&mut gateway.client(), &read(3)), Reply::Value(_)));
-    // Another gateway may not be there yet: open connections serve on while their commands can still be answered,
-    // which is up to a second before all must be (after 1.5 s, the longest client timeout here, and 0.5 s).
+    // Another gateway may not be available yet: open connections are served while commands can still be answered, up
+    // to a second before the deadline (1.5 s, the longest client timeout here, plus 0.5 s).
     let served_on = (4..).take_while(|id| {
         let reply = ask(&mut open, &read(*id));
         let early = began.elapsed() < Duration::from_millis(1_000);
@@ -392,35 +409,37 @@
     assert!(gateway.ended());
 }
 
-/// Guards against commands in hand at SIGTERM that outlast the process, which is killed some time after its longest
-/// client timeout: whoever waits for longer gets its answer before.
+/// Commands pending at SIGTERM must not outlast the process, which is killed some time after its longest client
+/// timeout: clients that wait for longer are answered before.
 #[test]
 fn after_sigterm_whoever_waits_for_longer_than_the_gateway_lasts_is_answered_too() {
-    let late = Does::AnswersLate(b"late".to_vec(), Duration::from_secs(20));
-    let (primary, replica) = (Server::start(true, vec![late.clone()]), Server::start(false, vec![late]));
+    let late = Reaction::AnswersLate(b"late".to_vec(), Duration::from_secs(20));
+    let (primary, replica) =
+        (ScriptedServer::start(true, vec![late.clone()]), ScriptedServer::start(false, vec![late]));
     let (mut gateway, _changes) = gateway(&primary, &replica);
     let (mut writer, mut reader) = (gateway.client(), gateway.client());
     send(&mut writer, &write(1).replace("d=1500", "d=9000"), || primary.asked().len() == 1);
     let reached = || primary.asked().len() + replica.asked().len() >= 2;
     send(&mut reader, &read(2).replace("d=1500", "d=9000"), reached);
     let began = Instant::now();
-    // A new configuration in the same moment changes nothing of that.
+    // A new configuration at the same moment does not change that.
     gateway.signal("HUP");
     gateway.signal("TERM");
     gateway.signal("HUP");
     assert_eq!(writer.reply(), Reply::Error("58000".into(), None));
     assert!(matches!(reader.reply(), Reply::Error(code, _) if code == "53300"));
     assert!(gateway.ended());
-    // The promise itself: all is answered 2 s after SIGTERM (the longest client timeout here, 1.5 s, and 0.5 s), not
-    // after the 9 s for which these clients would wait.
+    // The guarantee: everything is answered 2 s after SIGTERM (the longest client timeout here, 1.5 s, plus 0.5 s), not
+    // after the 9 s that these clients would wait.
     assert!(began.elapsed() < Duration::from_millis(4_000), "{:?}", began.elapsed());
 }
 
-/// Guards against a command that came in before its connection was ended and was dropped unread: clients send on as
-/// long as they see no end, here without a pause over the whole stop.
+/// A command that arrived before its connection was closed must not be dropped unread: clients send as long as they
+/// see no end, here continuously during the whole shutdown.
 #[test]
 fn after_sigterm_no_command_on_an_open_connection_goes_unanswered() {
-    let (primary, replica) = (Server::start(true, vec![value()]), Server::start(false, vec![value()]));
+    let (primary, replica) =
+        (ScriptedServer::start(true, vec![value()]), ScriptedServer::start(false, vec![value()]));
     let (mut gateway, _changes) = gateway(&primary, &replica);
     let clients: Vec<Client> = (0..8).map(|_| gateway.client()).collect();
     let asking = clients.into_iter().enumerate().map(|(n, mut client)| {
@@ -434,12 +453,12 @@
         })
     });
     let asking: Vec<_> = asking.collect();
-    until("commands flow", || primary.asked().len() + replica.asked().len() > 100);
+    wait_until("commands flow", || primary.asked().len() + replica.asked().len() > 100);
     gateway.signal("TERM");
     let crossed: Vec<u32> =
         asking.into_iter().filter_map(|thread| thread.join().expect("only answers")).collect();
     assert!(gateway.ended());
-    // What the end of a connection crossed was sent on to nobody.
+    // Commands that crossed the end of a connection were not forwarded.
     let asked = [primary.asked(), replica.asked()].concat();
     assert!(crossed.len() == 8 && asked.len() > 100, "{crossed:?}, {} asked", asked.len());
     for id in crossed {
@@ -447,17 +466,18 @@
     }
 }
 
-/// Guards against connections that wait in the listen queue as it is closed: there may be more of them than are taken
-/// in one turn, where the process stood still for a moment.
+/// Connections that wait in the listen queue when it closes must be served: there may be more than fit into one turn
+/// after a pause of the process.
 #[test]
 fn after_sigterm_all_that_waits_in_the_listen_queue_is_answered() {
-    let (primary, replica) = (Server::start(true, vec![value()]), Server::start(false, vec![value()]));
+    let (primary, replica) =
+        (ScriptedServer::start(true, vec![value()]), ScriptedServer::start(false, vec![value()]));
     let entries = [entry("s1", primary.address, "up", true), entry("s2", replica.address, "up", false)];
     let (address, _changes) = discovery(list(1, true, &entries));
     let mut gateway = Gateway::with_sockets(PROGRAM, address, 512);
     gateway.signal("TERM");
-    // It takes that up, and stands still until after a second, by when its queue was to be closed. Where it comes to
-    // neither in this time the queue is served as ever.
+    // It handles the signal, and is paused until after the time at which its queue was to be closed. If it reaches
+    // neither in this time, the queue is served as usual.
     std::thread::sleep(Duration::from_millis(300));
     gateway.signal("STOP");
     let asking: Vec<_> = (0..100)
@@ -479,12 +499,13 @@
     assert!(gateway.ended());
 }
 
-/// Guards against SIGHUP ending the gateway, and against a list that is not believed because another discovery numbers
-/// its lists lower.
+/// SIGHUP must not end the gateway, and a list must be accepted even if another discovery numbers its lists
+/// lower.
 #[test]
 fn after_sighup_a_new_discovery_is_followed_and_nothing_is_lost() {
-    let late = Does::AnswersLate(b"late".to_vec(), Duration::from_millis(900));
-    let (primary, replica) = (Server::start(true, vec![late]), Server::start(false, vec![value()]));
+    let late = Reaction::AnswersLate(b"late".to_vec(), Duration::from_millis(900));
+    let (primary, replica) =
+        (ScriptedServer::start(true, vec![late]), ScriptedServer::start(false, vec![value()]));
     let (gateway, _changes) = gateway(&primary, &replica);
     let (mut busy, mut open) = (gateway.client(), gateway.client());
     send(&mut busy, &write(1), || primary.asked().len() == 1);
@@ -495,7 +516,7 @@
         let (another, _changes) = discovery(list(version, true, &entries));
         gateway.reload(&another.to_string());
         let mut id = 100 * (version as u32 + 1);
-        until("reads where the new list has them", || {
+        wait_until("reads where the new list has them", || {
             id += 1;
             let before = replica.asked().len();
             let answered = ask(&mut open, &read(id));
@@ -529,10 +550,11 @@
     }
 }
 
-/// Guards against clients that ask once and keep their connection, and leave none to those that ask.
+/// Clients that ask once and stay connected must leave connections to others.
 #[test]
 fn clients_that_rest_make_way_before_descriptors_run_out() {
-    let (primary, replica) = (Server::start(true, vec![value()]), Server::start(false, vec![value()]));
+    let (primary, replica) =
+        (ScriptedServer::start(true, vec![value()]), ScriptedServer::start(false, vec![value()]));
     let (gateway, _changes) = gateway(&primary, &replica);
     let mut clients: Vec<Client> = (0..18).map(|_| gateway.client()).collect();
     for (id, client) in clients.iter_mut().enumerate() {
@@ -543,10 +565,11 @@
     assert!(matches!(ask(&mut clients[17], &read(18)), Reply::Value(_)));
 }
 
-/// Guards against a listen queue that is left unserved while idle connections hold all descriptors.
+/// The listen queue must be served while idle connections hold all descriptors.
 #[test]
 fn idle_clients_make_way_when_descriptors_run_out() {
-    let (primary, replica) = (Server::start(true, vec![value()]), Server::start(false, vec![value()]));
+    let (primary, replica) =
+        (ScriptedServer::start(true, vec![value()]), ScriptedServer::start(false, vec![value()]));
     let (gateway, _changes) = gateway(&primary, &replica);
     let mut clients: Vec<Client> = (0..60).map(|_| gateway.client()).collect();
     assert!(matches!(ask(&mut clients[59], &read(1)), Reply::Value(_)));
--- a/crates/cli/tests/told.rs
+++ b/crates/cli/tests/told.rs
@@ -1,4 +1,4 @@
-//! What counts as told, and what is owed at the end: the program on sockets beside a discovery that falls silent.
+//! Notification deadlines and obligations at the end: the program on sockets with a discovery that falls silent.
 
 #[path = "rig/agent.rs"]
 mod agent;
@@ -13,12 +13,12 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_tansyjunction");
 const MS: Duration = Duration::from_millis(1);
-/// What a silence hides counts as told so long after it began; and so long after SIGHUP.
+/// Time after which changes hidden by a silence count as notified; and after SIGHUP.
 const SILENCE_COUNTS: Duration = Duration::from_secs(6);
 const SIGHUP_COUNTS: Duration = Duration::from_secs(4);
 
-/// Guards against a watch that is believed to live for longer than what it misses may go unknown, here right after a
-/// beat.
+/// A silent watch must be noticed before its missed changes count as notified, here right after a sign of
+/// life.
 #[test]
 fn what_a_silent_watch_misses_is_known_before_it_counts() {
     let rig = Rig::new();
@@ -32,7 +32,7 @@
     assert!(last > 500 * MS && last < SILENCE_COUNTS, "{last:?}");
 }
 
-/// Guards against a discovery that accepts and says nothing, which was given as long as a watch that had spoken.
+/// A discovery that accepts connections and sends nothing must not get the time of an established watch.
 #[test]
 fn two_silences_in_a_row_are_both_noticed_in_time() {
     let rig = Rig::new();
@@ -46,8 +46,8 @@
     assert!(last < SILENCE_COUNTS, "{last:?}");
 }
 
-/// Guards against patience with what was connected during a long outage and is never answered: what the agent has
-/// counts from the outage's end, and servers that drain may be sent to for a second.
+/// Connections made during a long outage may never be answered: everything in discovery counts from the end of the
+/// outage, and draining servers may get commands for one more second.
 #[test]
 fn after_a_long_outage_what_discovery_has_is_known_within_a_second() {
     let rig = Rig::new();
@@ -62,7 +62,7 @@
     assert!(last < 1_000 * MS, "{last:?}");
 }
 
-/// A watch that ends is opened anew at once: what the agent has meanwhile counts whether or not a watch is open.
+/// A watch that ends is reopened at once: changes meanwhile count whether or not a watch is open.
 #[test]
 fn a_watch_that_ends_is_opened_anew_at_once() {
     let rig = Rig::new();
@@ -76,7 +76,7 @@
     assert!(last < 600 * MS, "{last:?}");
 }
 
-/// The same after SIGHUP, where the first connections to the new address get no word; the last list serves on until
+/// The same after SIGHUP if the first connections to the new address get no answer; the last list stays in force until
 /// then.
 #[test]
 fn after_sighup_a_silent_discovery_is_asked_again_in_time() {
@@ -90,7 +90,7 @@
     assert!(last > 500 * MS && last < SIGHUP_COUNTS, "{last:?}");
 }
 
-/// Guards against pauses between tries that grow beyond what is left: here the new address refuses connections at
+/// Pauses between attempts must not grow beyond the time left: the new address refuses connections at
 /// first.
 #[test]
 fn after_sighup_a_discovery_that_refuses_is_tried_again_in_time() {
@@ -132,7 +132,7 @@
     });
 }
 
-/// Guards against a watch that is read line by line, and against pieces with pauses taken for a silence.
+/// Lists may be indented over many lines, and pieces with pauses are no silence.
 #[test]
 fn lists_that_come_indented_or_in_pieces_are_taken() {
     std::thread::scope(|scope| {
@@ -154,8 +154,8 @@
     });
 }
 
-/// Guards against a new process that serves by the list which its configuration carries while discovery's is on its
-/// way: that one counts from the first moment on.
+/// A new process must not use the list of its configuration while discovery's list is on its way: that one counts
+/// from the start.
 #[test]
 fn a_new_process_sends_nothing_by_an_old_list() {
     std::thread::scope(|scope| {
@@ -169,7 +169,7 @@
                 agent.says_nothing(out_of_order);
                 let known = list(40, true, &rig.entries("up"));
                 let gateway = Gateway::launch(PROGRAM, agent.address, 64, &known);
-                until("the listener", || TcpStream::connect(gateway.address).is_ok());
+                wait_until("the listener", || TcpStream::connect(gateway.address).is_ok());
                 let began = Instant::now();
                 let mut client = gateway.client();
                 let (mut served, mut silent) = (0, out_of_order);
@@ -184,7 +184,7 @@
                     let reply = client.ask(&read(id));
                     assert!(matches!(reply, Reply::Value(_)) || reply.throttled(), "{reply:?}");
                     served += usize::from(matches!(reply, Reply::Value(_)));
-                    // What comes first waits for the list, which takes a moment, a fifth of a second at most.
+                    // The first commands wait for the list, a fifth of a second at most.
                     let waited = served > 0 || began.elapsed() > 200 * MS;
                     assert!(id > 0 || pieces.is_some() || out_of_order || waited, "{reply:?}");
                     std::thread::sleep(20 * MS);
@@ -196,7 +196,7 @@
     });
 }
 
-/// A discovery that stays silent does not keep a new process from service for good.
+/// A discovery that stays silent does not keep a new process from serving forever.
 #[test]
 fn without_any_list_the_last_one_known_serves_after_a_while() {
     let rig = Rig::new();
@@ -208,7 +208,7 @@
     gateway.wait_ready();
     assert!(began.elapsed() > 5_000 * MS && began.elapsed() < 10_000 * MS, "{:?}", began.elapsed());
     assert!(matches!(gateway.client().ask(&read(1)), Reply::Value(_)));
-    // What discovery has then goes first, however it numbers its lists.
+    // A list from discovery then takes precedence, whatever its number.
     agent.has(rig.entries("draining"));
     let since = Instant::now();
     agent.says_nothing(false);
@@ -216,7 +216,7 @@
     assert!(last < 3_500 * MS, "{last:?}");
 }
 
-/// What came from discovery goes before commands that came with it, after a pause of the whole process too.
+/// Data from discovery is handled before commands that arrived with it, also after a pause of the process.
 #[test]
 fn a_list_that_waits_in_the_socket_goes_before_commands() {
     let rig = Rig::new();
@@ -228,7 +228,7 @@
     }
     let before = rig.replica.asked().len();
     gateway.signal("STOP");
-    // It stands still only once it was its turn.
+    // It is paused only after its turn.
     std::thread::sleep(300 * MS);
     for (id, client) in clients.iter_mut().enumerate() {
         client.send(&read(100 + id as u32));
@@ -243,16 +243,17 @@
     assert_eq!((before > 0, rig.replica.asked().len()), (true, before));
 }
 
-/// Guards against clients that send on each connection that stays open, up to SIGKILL, and were taken up to a moment
-/// in which nothing could be answered any more. All that is sent is served, or was sent on to nobody as its
-/// connection ended.
+/// Clients send on each open connection up to SIGKILL; they must not be accepted until a moment at which nothing can be
+/// answered any more. Every command is served, or is not forwarded because its connection
+/// ended.
 #[test]
 fn after_sigterm_all_that_can_be_served_is_served() {
-    let late = || vec![Does::AnswersLate(b"late".to_vec(), 40 * MS)];
-    let rig = Rig { primary: Server::start(true, late()), replica: Server::start(false, late()) };
+    let late = || vec![Reaction::AnswersLate(b"late".to_vec(), 40 * MS)];
+    let rig =
+        Rig { primary: ScriptedServer::start(true, late()), replica: ScriptedServer::start(false, late()) };
     let agent = rig.agent();
     let mut gateway = Gateway::with_sockets(PROGRAM, agent.address, 256);
-    // At first a router that knows nothing yet of its servers sends them little at once.
+    // A router that knows nothing about its servers sends them few commands at first.
     let (began, warm) = (Instant::now(), 700 * MS);
     let asking = (0..32).map(|n| {
         let mut client = gateway.client();
@@ -285,11 +286,11 @@
         let sent = sent.saturating_sub(told);
         assert!(sent > 800 * MS && sent < 1_400 * MS, "ended at {sent:?}");
     }
-    // SIGKILL comes no sooner than 0.7 s after the longest client timeout.
+    // SIGKILL comes 0.7 s after the longest client timeout at the earliest.
     assert!(gateway.ended() && since.elapsed() < 2_200 * MS, "{:?}", since.elapsed());
 }
 
-/// Guards against new connections closed with their first command unread: those that rest or say nothing make way
+/// New connections must not be closed with their first command unread: idle or silent ones are closed
 /// instead.
 #[test]
 fn no_new_connection_is_closed_without_an_answer_where_descriptors_are_scarce() {
@@ -302,10 +303,10 @@
         std::thread::spawn(move || {
             let mut unanswered = 0;
             for id in 0..100 {
-                // Others come and say nothing.
+                // Others connect and stay silent.
                 let silent = TcpStream::connect(address).expect("the kernel accepts");
                 let mut stream = TcpStream::connect(address).expect("the kernel accepts");
-                stream.set_read_timeout(Some(BOUND)).expect("a bound");
+                stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a bound");
                 let query = message(b'Q', format!("{}\0", read(1_000 * (n + 1) + id)).as_bytes());
                 let _ = stream.write_all(&[START, &query].concat());
                 let mut client = Client { stream };
@@ -322,7 +323,7 @@
     drop(resting);
 }
 
-/// As many processes as a small machine bears, started at once; the page has ten times as many.
+/// As many processes as a small machine bears, started at once; the specification has ten times as many.
 #[test]
 fn thirty_processes_started_at_once_are_ready_in_time() {
     let rig = Rig::new();
