--- a/crates/cli/tests/written.rs
+++ b/crates/cli/tests/written.rs
@@ -1,5 +1,5 @@
-//! What is written to servers, and when: an attempt is judged again before its bytes go out, and a server may end at
-//! any moment of it. Servers note what reached them, so that no second attempt goes unseen.
+//! Writing to servers: an attempt is checked again before its bytes are written, and a server may end at any moment
+//! of it. Servers record what they receive, so that no second attempt goes unnoticed.
 
 use std::io::{Read, Write};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -12,7 +12,7 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_tansyjunction");
 const MS: Duration = Duration::from_millis(1);
 
-/// One class of each effect and need, one attempt at a time, and connections that may come up late.
+/// A command group for each effect and need, one attempt at a time, and connections that may come up late.
 fn settings(guards: &str, attempts: usize) -> String {
     let class = |name: &str, effect: &str| {
         format!(
@@ -33,7 +33,7 @@
     )
 }
 
-/// A statement of a class; `wait`: the client's time in milliseconds.
+/// A statement of a command group; `wait`: client timeout in milliseconds.
 fn statement(class: &str, id: u32, wait: u32) -> String {
     let verb = match class {
         "once" | "keyed" => "INSERT INTO records (k, v) VALUES ('7f3a', '\\x9f03') RETURNING v",
@@ -42,7 +42,7 @@
     format!("{verb} /* id={id},c={class},d={wait},k={id},cluster=2 */")
 }
 
-/// A write so long that it does not fit between the gateway and a narrow server.
+/// A write that does not fit into the buffers between the gateway and a narrow server.
 fn long_write(id: u32) -> String {
     statement("once", id, 5_000).replace("9f03", &"9f".repeat(65_536))
 }
@@ -55,40 +55,40 @@
     Reply::Error("58000".into(), None)
 }
 
-/// A server that takes everything and says who it is.
-fn plain(primary: bool, name: &'static str) -> Gated {
+/// A server that accepts everything and identifies itself.
+fn plain(primary: bool, name: &'static str) -> GatedServer {
     late(primary, name, usize::MAX)
 }
 
-/// The same, of which so many connections get through their startup at first.
-fn late(primary: bool, name: &'static str, pass: usize) -> Gated {
-    Gated::start(pass, move |met| {
+/// The same, with this many connections that complete their startup at first.
+fn late(primary: bool, name: &'static str, pass: usize) -> GatedServer {
+    GatedServer::start(pass, move |met| {
         met.whole()?;
         met.answer(primary, name.as_bytes())?;
         Ok(true)
     })
 }
 
-/// Whether something was said to a client that it has not read.
+/// Whether a client has unread data.
 fn has_more(client: &Client) -> bool {
     client.stream.set_read_timeout(Some(MS)).expect("a bound");
     let more = client.stream.peek(&mut [0]).is_ok();
-    client.stream.set_read_timeout(Some(BOUND)).expect("a bound");
+    client.stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a bound");
     more
 }
 
-/// Asks until a server got something by it: the list that sends it there has been taken in.
-fn until_asked(what: &str, gateway: &Gateway, class: &str, server: &Gated) {
+/// Repeats until a server receives a command: then the list that routes it there was applied.
+fn until_asked(what: &str, gateway: &Gateway, class: &str, server: &GatedServer) {
     let (mut client, mut id, before) = (gateway.client(), 1_000, server.asked().len());
-    until(what, || {
+    wait_until(what, || {
         id += 1;
         client.ask(&statement(class, id, 5_000));
         server.asked().len() > before
     });
 }
 
-/// What waits for its connection while its server is told draining or gone goes elsewhere, and does not use up an
-/// attempt: here there is only one.
+/// A command that waits for its connection while its server is listed as draining or gone goes elsewhere, without
+/// using up an attempt: only one is allowed here.
 #[test]
 fn a_server_that_drains_gets_nothing_that_waited_for_its_connection() {
     for health in ["draining", "removed"] {
@@ -99,19 +99,21 @@
         let gateway = Gateway::with_settings(PROGRAM, discovery, &settings("await", 1));
         let mut client = gateway.client();
         client.send(&statement("look", 1, 5_000));
-        until("a connection that waits", || leaving.came() == 1);
+        wait_until("a connection that waits", || leaving.came() == 1);
         let change = [entry("s2", leaving.address, health, false), entry("s3", other.address, "up", false)];
         changes.send(list(2, false, &change)).expect("a watch");
         until_asked("the list", &gateway, "look", &other);
         leaving.pass(usize::MAX);
         assert!(matches!(client.reply(), Reply::Value(_)), "{health}");
-        until("the end of what waited", || leaving.ended() >= leaving.came() || !leaving.asked().is_empty());
+        wait_until("the end of what waited", || {
+            leaving.ended() >= leaving.came() || !leaving.asked().is_empty()
+        });
         assert_eq!(leaving.asked(), [""; 0], "{health}");
     }
 }
 
-/// What waits for a connection to a process that is no more is placed anew: where its server listens by now, or at
-/// the new process, for which it may not be meant.
+/// A command that waits for a connection to a process that is gone is placed again: at the server's new address, or
+/// at the new process, which may not qualify for it.
 #[test]
 fn what_waits_for_a_process_that_is_no_more_is_placed_anew() {
     for moved in [true, false] {
@@ -122,13 +124,13 @@
         let gateway = Gateway::with_settings(PROGRAM, discovery, &settings("await", 4));
         let mut client = gateway.client();
         client.send(&statement("once", 1, 5_000));
-        until("a connection that waits", || before.came() == 1);
+        wait_until("a connection that waits", || before.came() == 1);
         let own = entry("s1", if moved { now.address } else { before.address }, "up", true);
         let own = if moved { own } else { own.replace(r#""born_ms":0"#, r#""born_ms":1767225600000"#) };
         changes.send(list(2, false, &[own, entry("s3", other.address, "up", false)])).expect("a watch");
         until_asked("the list", &gateway, "look", &other);
         if !moved {
-            until("another connection", || before.came() == 2);
+            wait_until("another connection", || before.came() == 2);
             before.pass(usize::MAX);
         }
         assert_eq!(client.reply(), value(if moved { "now" } else { "before" }), "moved: {moved}");
@@ -137,8 +139,8 @@
     }
 }
 
-/// Guards against what is placed anew while connections to other processes that are no more still stand: it would be
-/// written to one of those, which is closed right behind it, and count as never sent.
+/// A command that is placed again must not be written to an old connection of another process that is gone, which
+/// closes right after and would count it as never sent.
 #[test]
 fn what_is_placed_anew_as_several_servers_restart_is_written_once() {
     let (held, free) = (late(false, "held", 0), plain(false, "free"));
@@ -156,11 +158,11 @@
     let mut clients: Vec<Client> = (0..16).map(|_| gateway.client()).collect();
     for (id, client) in clients.iter_mut().enumerate() {
         client.send(&statement("look", id as u32 + 1, 5_000));
-        until("the read at a server", || held.came() + free.asked().len() == id + 1);
+        wait_until("the read at a server", || held.came() + free.asked().len() == id + 1);
     }
     assert!(held.came() > 1 && free.came() > 0, "{} wait, {} were served", held.came(), free.asked().len());
     changes.send(listed(2, false, r#""born_ms":1767225600000"#)).expect("a watch");
-    until("another connection", || free.asked().len() + held.came() > 16);
+    wait_until("another connection", || free.asked().len() + held.came() > 16);
     held.pass(usize::MAX);
     for client in &mut clients {
         assert!(matches!(client.reply(), Reply::Value(_)));
@@ -172,15 +174,15 @@
     }
 }
 
-/// What reached a server before it was told draining or gone is finished there.
+/// A command that reached a server before it was listed as draining or gone is completed there.
 #[test]
 fn an_answer_of_a_server_that_leaves_still_counts() {
     for health in ["draining", "removed"] {
         let (go, goes) = mpsc::channel::<()>();
         let goes = std::sync::Mutex::new(goes);
-        let leaving = Gated::start(usize::MAX, move |met| {
+        let leaving = GatedServer::start(usize::MAX, move |met| {
             met.whole()?;
-            let _ = goes.lock().expect("one at a time").recv_timeout(BOUND);
+            let _ = goes.lock().expect("one at a time").recv_timeout(WAIT_TIMEOUT);
             met.answer(true, b"leaving")?;
             Ok(true)
         });
@@ -190,7 +192,7 @@
         let gateway = Gateway::with_settings(PROGRAM, discovery, &settings("await", 4));
         let mut client = gateway.client();
         client.send(&statement("once", 1, 5_000));
-        until("the write at its server", || leaving.asked().len() == 1);
+        wait_until("the write at its server", || leaving.asked().len() == 1);
         let change = [entry("s1", leaving.address, health, false), entry("s3", other.address, "up", false)];
         changes.send(list(2, false, &change)).expect("a watch");
         until_asked("the list", &gateway, "look", &other);
@@ -200,8 +202,8 @@
     }
 }
 
-/// A server that vanished takes connections no further: nothing counts as sent, the client is told in its time that
-/// trying again does no harm, and the server gets nothing once it is back.
+/// A server that vanished accepts no more connections: nothing counts as sent, the client is told in time that a
+/// retry is harmless, and the server gets nothing after its return.
 #[test]
 fn a_server_that_vanished_gets_nothing_when_it_is_back() {
     let primary = late(true, "late", 0);
@@ -212,18 +214,18 @@
     assert!(client.ask(&statement("once", 1, 1_200)).throttled());
     assert!(primary.came() >= 2);
     primary.pass(usize::MAX);
-    until("the end of all that came", || primary.ended() >= primary.came());
+    wait_until("the end of all that came", || primary.ended() >= primary.came());
     assert_eq!(primary.asked(), [""; 0]);
 }
 
-/// A repeat whose window ran out while its connection came up is not written any more; one in time is.
+/// A repeat whose window ended while its connection came up is not written; one in time is.
 #[test]
 fn a_repeat_that_waited_for_its_connection_beyond_its_window_is_not_written() {
     for (window, pause, reply, reached) in
         [(5_000, Duration::ZERO, value("second"), 2), (500, 700 * MS, failed(), 1)]
     {
         let settings = settings("await", 4).replace("window\":2000", &format!("window\":{window}"));
-        let primary = Gated::start(1, |met| {
+        let primary = GatedServer::start(1, |met| {
             let first = met.whole()? == 0;
             if !first {
                 met.answer(true, b"second")?;
@@ -234,19 +236,19 @@
         let gateway = Gateway::with_settings(PROGRAM, discovery, &settings);
         let mut client = gateway.client();
         client.send(&statement("keyed", 1, 5_000));
-        // On a machine that stood still the window may be over before there is one.
-        until("the connection for the repeat", || primary.came() == 2 || has_more(&client));
+        // On a paused machine the window may be over before.
+        wait_until("the connection for the repeat", || primary.came() == 2 || has_more(&client));
         std::thread::sleep(pause);
         primary.pass(usize::MAX);
         assert_eq!((client.reply(), primary.asked().len()), (reply, reached), "{pause:?}");
     }
 }
 
-/// Where servers do not check themselves, the age of data counts when the read is written, not when it was placed.
+/// Where servers do not check freshness, the age of data counts when the read is written, not when it was placed.
 #[test]
 fn a_read_that_waited_until_its_data_was_too_old_goes_elsewhere() {
     let primary = plain(true, "primary");
-    let replica = Gated::start(1, |met| {
+    let replica = GatedServer::start(1, |met| {
         met.whole()?;
         met.answer(false, b"replica")?;
         Ok(false)
@@ -256,16 +258,16 @@
     let gateway = Gateway::with_settings(PROGRAM, discovery, &settings("silent", 4));
     let mut client = gateway.client();
     let mut id = 0;
-    // Where the machine stands still until the data is too old, the read goes to the primary at once: then once more.
-    until("a read that waits for its connection to the replica", || {
+    // If the machine is paused until the data is too old, the read goes to the primary at once: then once more.
+    wait_until("a read that waits for its connection to the replica", || {
         id += 2;
-        // By the answer the replica's position is known.
+        // The answer shows the replica's position.
         replica.pass(replica.came() + 1);
         assert_eq!(client.ask(&statement("look", id - 1, 5_000)), value("replica"));
-        until("the end of its connection", || replica.ended() == replica.came());
+        wait_until("the end of its connection", || replica.ended() == replica.came());
         let before = replica.came();
         client.send(&statement("young", id, 5_000));
-        until("another connection, or an answer", || replica.came() > before || has_more(&client));
+        wait_until("another connection, or an answer", || replica.came() > before || has_more(&client));
         let waits = replica.came() > before;
         assert!(waits || client.reply() == value("primary"));
         waits
@@ -276,7 +278,7 @@
     assert!(!replica.asked().iter().any(|asked| asked.contains("c=young")), "{:?}", replica.asked());
 }
 
-/// A read of the newest data is not written to a server that leads no more, where that would answer from what it has.
+/// A fresh read is not written to a server that is no longer primary, if that would answer with the data it has.
 #[test]
 fn a_fresh_read_that_waited_is_not_written_to_a_primary_of_before() {
     let (before, now) = (late(false, "before", 0), plain(true, "now"));
@@ -288,7 +290,7 @@
     let gateway = Gateway::with_settings(PROGRAM, discovery, &settings("silent", 4));
     let mut client = gateway.client();
     client.send(&statement("fresh", 1, 5_000));
-    until("a connection that waits", || before.came() == 1);
+    wait_until("a connection that waits", || before.came() == 1);
     changes.send(list_of(2, false)).expect("a watch");
     until_asked("the list", &gateway, "fresh", &now);
     before.pass(usize::MAX);
@@ -296,7 +298,7 @@
     assert_eq!(before.asked(), [""; 0]);
 }
 
-/// The server is told what is left of its client's time when the statement is written, and nothing once none is left.
+/// The server is told the time left to its client when the statement is written, and gets nothing if none is left.
 #[test]
 fn a_server_is_told_the_time_that_is_left_when_its_statement_is_written() {
     let primary = late(true, "late", 0);
@@ -305,7 +307,7 @@
     let (mut client, mut short) = (gateway.client(), gateway.client());
     client.send(&statement("once", 1, 5_000));
     short.send(&statement("once", 2, 300));
-    until("connections that wait", || primary.came() == 2);
+    wait_until("connections that wait", || primary.came() == 2);
     let began = Instant::now();
     assert!(short.reply().throttled());
     let waited = began.elapsed();
@@ -318,15 +320,15 @@
     assert_eq!(asked.len(), 1, "{asked:?}");
 }
 
-/// What lies half written as its server begins to drain is not written on: the server must not get the rest of it.
+/// A half-written statement is not continued once its server drains: the server must not get the rest.
 #[test]
 fn a_statement_half_written_to_a_server_that_drains_is_not_finished() {
     let (began, begun) = mpsc::channel();
     let (go, goes) = mpsc::channel::<()>();
     let goes = std::sync::Mutex::new(goes);
-    let leaving = Gated::narrow(move |met| {
+    let leaving = GatedServer::narrow(move |met| {
         let _ = began.send(());
-        let _ = goes.lock().expect("one at a time").recv_timeout(BOUND);
+        let _ = goes.lock().expect("one at a time").recv_timeout(WAIT_TIMEOUT);
         met.whole()?;
         met.answer(true, b"leaving")?;
         Ok(true)
@@ -337,7 +339,7 @@
     let gateway = Gateway::with_settings(PROGRAM, discovery, &settings("await", 1));
     let mut client = gateway.client();
     client.send(&long_write(1));
-    begun.recv_timeout(BOUND).expect("a statement begins to come");
+    begun.recv_timeout(WAIT_TIMEOUT).expect("a statement begins to come");
     let change = [
         entry("s1", leaving.address, "draining", false),
         entry("s2", next.address, "up", true),
@@ -347,24 +349,24 @@
     until_asked("the list", &gateway, "look", &other);
     go.send(()).expect("it waits");
     assert_eq!(client.reply(), value("next"));
-    until("the end of what was begun", || leaving.ended() == 1);
+    wait_until("the end of what was begun", || leaving.ended() == 1);
     assert_eq!(leaving.asked(), [""; 0]);
 }
 
-/// The same where the window of a repeat runs out meanwhile, which nothing but the write itself can notice.
+/// The same if the window of a repeat ends meanwhile, which only the write itself can notice.
 #[test]
 fn a_repeat_half_written_as_its_window_ends_is_not_finished() {
     let (began, begun) = mpsc::channel();
     let (go, goes) = mpsc::channel::<()>();
     let goes = std::sync::Mutex::new(goes);
     let count = AtomicBool::new(false);
-    let primary = Gated::narrow(move |met| {
+    let primary = GatedServer::narrow(move |met| {
         if !count.swap(true, Ordering::SeqCst) {
             met.whole()?;
             return Ok(false);
         }
         let _ = began.send(());
-        let _ = goes.lock().expect("one at a time").recv_timeout(BOUND);
+        let _ = goes.lock().expect("one at a time").recv_timeout(WAIT_TIMEOUT);
         met.whole()?;
         met.answer(true, b"late")?;
         Ok(true)
@@ -373,26 +375,26 @@
     let gateway = Gateway::with_settings(PROGRAM, discovery, &settings("await", 4));
     let mut client = gateway.client();
     client.send(&long_write(1).replace("c=once", "c=keyed"));
-    begun.recv_timeout(BOUND).expect("the repeat begins to come");
+    begun.recv_timeout(WAIT_TIMEOUT).expect("the repeat begins to come");
     std::thread::sleep(2_200 * MS);
     go.send(()).expect("it waits");
     assert_eq!(client.reply(), failed());
-    until("the end of the repeat", || primary.ended() == 2);
+    wait_until("the end of the repeat", || primary.ended() == 2);
     assert_eq!(primary.asked().len(), 1);
 }
 
-/// A server may turn a statement away before all of it has come. The rest must not reach it on the resting
-/// connection, when the command is on its way again.
+/// A server may reject a statement before it has received all of it. The rest must not reach it on the idle
+/// connection while the command is placed again.
 #[test]
 fn what_was_turned_away_half_written_is_not_finished_later() {
     let (go, goes) = mpsc::channel::<()>();
     let goes = std::sync::Mutex::new(goes);
     let turned_away = AtomicBool::new(false);
-    let primary = Gated::narrow(move |met| {
+    let primary = GatedServer::narrow(move |met| {
         if !turned_away.swap(true, Ordering::SeqCst) {
             let error = message(b'E', b"SERROR\0C53300\0Mno\0\0");
             met.stream.write_all(&[error, message(b'Z', b"I")].concat())?;
-            let _ = goes.lock().expect("one at a time").recv_timeout(BOUND);
+            let _ = goes.lock().expect("one at a time").recv_timeout(WAIT_TIMEOUT);
         }
         met.whole()?;
         met.answer(true, b"again")?;
@@ -402,16 +404,16 @@
     let gateway = Gateway::with_settings(PROGRAM, discovery, &settings("await", 4));
     let mut client = gateway.client();
     client.send(&long_write(1));
-    // It is sent again on a connection of its own.
-    until("the write that was sent again", || primary.asked().len() == 1);
+    // It is sent again on another connection.
+    wait_until("the write that was sent again", || primary.asked().len() == 1);
     assert_eq!(client.reply(), value("again"));
     go.send(()).expect("it waits");
-    until("the end of what was turned away", || primary.ended() == 1);
+    wait_until("the end of what was turned away", || primary.ended() == 1);
     assert_eq!(primary.asked().len(), 1);
 }
 
-/// A connection that ends right behind its startup has taken no statement: one that may not be repeated goes out on
-/// another.
+/// A connection that ends right after its startup has accepted no statement: a command that may not be repeated is
+/// sent on another one.
 #[test]
 fn a_connection_that_ends_behind_its_startup_takes_no_statement() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -426,11 +428,11 @@
             let _ = stream.read(&mut bytes);
             if place == 0 {
                 let _ = came.send(());
-                let _ = goes.recv_timeout(BOUND);
+                let _ = goes.recv_timeout(WAIT_TIMEOUT);
                 let _ = stream.write_all(&welcome);
                 let _ = stream.shutdown(std::net::Shutdown::Write);
                 let _ = over.send(());
-                // Nothing may come on it but its end.
+                // Nothing but its end may arrive on it.
                 assert_eq!(stream.read(&mut bytes).unwrap_or(0), 0);
                 continue;
             }
@@ -444,19 +446,19 @@
     let gateway = Gateway::with_settings(PROGRAM, discovery, &settings("await", 4));
     let mut client = gateway.client();
     client.send(&statement("once", 1, 5_000));
-    comes.recv_timeout(BOUND).expect("a connection");
-    // Once it goes on, both are there at once.
+    comes.recv_timeout(WAIT_TIMEOUT).expect("a connection");
+    // Once it continues, both are there at once.
     gateway.pause();
     go.send(()).expect("it waits");
-    done.recv_timeout(BOUND).expect("it has ended");
+    done.recv_timeout(WAIT_TIMEOUT).expect("it has ended");
     gateway.signal("CONT");
     assert_eq!(client.reply(), value("another"));
 }
 
-/// A server that does `bad` with the next statement where that is wanted, and ends the connection; how many began to
-/// come.
+/// A server that executes `bad` with the next statement if requested, and closes the connection; counts the statements
+/// begun.
 struct AtTimes {
-    server: Gated,
+    server: GatedServer,
     wanted: Arc<AtomicBool>,
     begun: Arc<AtomicUsize>,
 }
@@ -468,7 +470,7 @@
     ) -> Self {
         let (wanted, begun) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
         let (asked, counted, turn) = (wanted.clone(), begun.clone(), AtomicUsize::new(0));
-        let server = Gated::start(usize::MAX, move |met| {
+        let server = GatedServer::start(usize::MAX, move |met| {
             counted.fetch_add(1, Ordering::SeqCst);
             if asked.swap(false, Ordering::SeqCst) {
                 bad(met, turn.fetch_add(1, Ordering::SeqCst))?;
@@ -481,8 +483,8 @@
         AtTimes { server, wanted, begun }
     }
 
-    /// Three good ones of a class, so that it stays a server that is well, then the bad one: its reply, and how many
-    /// statements it took.
+    /// Three good statements of a command group, so that the server stays healthy, then the bad one: its answer, and
+    /// the number of statements it took.
     fn after_good_ones(&self, client: &mut Client, class: &str, id: u32) -> (Reply, usize) {
         for n in 1..4 {
             assert_eq!(client.ask(&statement(class, id + n, 5_000)), value("good"), "{class} {id}");
@@ -494,14 +496,14 @@
     }
 }
 
-/// A server resets the connection at each byte of a statement that was written whole, and after it at once or some time
-/// later: whatever may not be repeated gets one attempt, and fails; a repeat that its key allows gets another.
+/// A server resets the connection at each byte of a completely written statement, and after it at once or later: a
+/// command that may not be repeated gets one attempt and fails; one that its key allows gets another.
 #[test]
 fn a_reset_at_any_byte_of_an_attempt_brings_no_second_one_that_may_not_be() {
     for (class, reply, attempts) in [("once", failed(), 1), ("keyed", value("good"), 2)] {
         let length = statement(class, 1_000, 5_000).len() + 6;
         let times = AtTimes::start(true, move |met, turn| {
-            // Its first byte is here, so that all of it was written: it is in one segment.
+            // Its first byte has arrived, so all of it was written: it is in one segment.
             met.stream.read_exact(&mut vec![0; turn.min(length)])?;
             if turn > length {
                 std::thread::sleep(300 * MS);
@@ -521,8 +523,8 @@
     }
 }
 
-/// A server ends in the middle of its answer, at each byte, or hangs there: no part of it is passed on, and what may
-/// not be repeated is not. What was answered whole counts, whatever becomes of the connection.
+/// A server ends in the middle of its answer, at each byte, or hangs there: no part of it is forwarded, and a command
+/// that may not be repeated is not. A complete answer counts, whatever happens to the connection.
 #[test]
 fn an_answer_that_is_cut_anywhere_is_no_answer() {
     let whole = row(b"cut");
@@ -548,14 +550,14 @@
             assert_eq!(found, (reply, 1), "{class} at byte {turn}");
         }
     }
-    // It hangs there: the client is answered in its time, and what comes later reaches nobody.
+    // It hangs there: the client is answered in time, and later data is not forwarded.
     let (half, rest) = (whole[..length / 2].to_vec(), whole[length / 2..].to_vec());
     let (go, goes) = mpsc::channel::<()>();
     let goes = std::sync::Mutex::new(goes);
-    let server = Gated::start(usize::MAX, move |met| {
+    let server = GatedServer::start(usize::MAX, move |met| {
         met.whole()?;
         met.stream.write_all(&half)?;
-        let _ = goes.lock().expect("one at a time").recv_timeout(BOUND);
+        let _ = goes.lock().expect("one at a time").recv_timeout(WAIT_TIMEOUT);
         met.stream.write_all(&[rest.clone(), message(b'Z', b"I")].concat())?;
         Ok(true)
     });
@@ -564,20 +566,20 @@
     let mut client = gateway.client();
     assert_eq!(client.ask(&statement("once", 1, 400)), failed());
     go.send(()).expect("it waits");
-    until("the end of its connection", || server.ended() == 1);
+    wait_until("the end of its connection", || server.ended() == 1);
     assert_eq!(client.ask(""), Reply::Empty);
     assert_eq!(server.asked().len(), 1);
 }
 
-/// An answer that came in while the process stood still goes before the time-out that fell due meanwhile.
+/// An answer that arrived while the process was paused takes precedence over the time-out that became due meanwhile.
 #[test]
 fn an_answer_in_the_turn_of_its_time_out_counts() {
     let (go, goes) = mpsc::channel::<()>();
     let (said, says) = mpsc::channel();
     let goes = std::sync::Mutex::new(goes);
-    let server = Gated::start(usize::MAX, move |met| {
+    let server = GatedServer::start(usize::MAX, move |met| {
         met.whole()?;
-        let _ = goes.lock().expect("one at a time").recv_timeout(BOUND);
+        let _ = goes.lock().expect("one at a time").recv_timeout(WAIT_TIMEOUT);
         met.answer(true, b"in time")?;
         let _ = said.send(());
         Ok(true)
@@ -587,27 +589,27 @@
     let mut client = gateway.client();
     let began = Instant::now();
     client.send(&statement("once", 1, 2_000));
-    until("the write at the server", || server.asked().len() == 1);
+    wait_until("the write at the server", || server.asked().len() == 1);
     gateway.pause();
     go.send(()).expect("it waits");
-    says.recv_timeout(BOUND).expect("it has answered");
+    says.recv_timeout(WAIT_TIMEOUT).expect("it has answered");
     std::thread::sleep((2_200 * MS).saturating_sub(began.elapsed()));
     gateway.signal("CONT");
     assert_eq!(client.reply(), value("in time"));
     assert_eq!(server.asked().len(), 1);
 }
 
-/// A server closes an idle connection in the moment in which the next statement comes: its end is seen before the
-/// first byte, and the statement goes out on another.
+/// A server closes an idle connection when the next statement comes: its end is noticed before the first byte, and the
+/// statement goes out on another connection.
 #[test]
 fn the_end_of_an_idle_connection_that_crosses_its_reuse_costs_nothing() {
     let (go, goes) = mpsc::channel::<()>();
     let goes = std::sync::Mutex::new(goes);
-    let server = Gated::start(usize::MAX, move |met| {
+    let server = GatedServer::start(usize::MAX, move |met| {
         let first = met.whole()? == 0;
         met.answer(true, b"well")?;
         if first {
-            let _ = goes.lock().expect("one at a time").recv_timeout(BOUND);
+            let _ = goes.lock().expect("one at a time").recv_timeout(WAIT_TIMEOUT);
         }
         Ok(!first)
     });
@@ -618,23 +620,23 @@
     gateway.pause();
     client.send(&statement("once", 2, 5_000));
     go.send(()).expect("it waits");
-    until("the end of the idle connection", || server.ended() == 1);
+    wait_until("the end of the idle connection", || server.ended() == 1);
     gateway.signal("CONT");
     assert_eq!(client.reply(), value("well"));
     assert_eq!([server.asked().len(), server.came()], [2, 2]);
 }
 
-/// The same where the end is behind another event of the same turn, by which the idle connection gets its statement:
-/// only a look at the connection itself, right before the first byte, finds it.
+/// The same if the end is behind another event of the same turn, by which the idle connection gets its statement:
+/// only a check of the connection right before the first byte notices it.
 #[test]
 fn the_end_of_an_idle_connection_is_seen_before_the_first_byte() {
     let (turn, turns) = mpsc::channel::<()>();
     let (end, ends) = mpsc::channel::<()>();
     let (turned, away) = mpsc::channel();
     let (turns, ends) = (std::sync::Mutex::new(turns), std::sync::Mutex::new(ends));
-    let server = Gated::start(usize::MAX, move |met| match met.whole()? {
+    let server = GatedServer::start(usize::MAX, move |met| match met.whole()? {
         0 => {
-            let _ = turns.lock().expect("one at a time").recv_timeout(BOUND);
+            let _ = turns.lock().expect("one at a time").recv_timeout(WAIT_TIMEOUT);
             let error = message(b'E', b"SERROR\0C53300\0Mno\0\0");
             met.stream.write_all(&[error, message(b'Z', b"I")].concat())?;
             let _ = turned.send(());
@@ -642,7 +644,7 @@
         }
         1 => {
             met.answer(true, b"well")?;
-            let _ = ends.lock().expect("one at a time").recv_timeout(BOUND);
+            let _ = ends.lock().expect("one at a time").recv_timeout(WAIT_TIMEOUT);
             Ok(false)
         }
         _ => met.answer(true, b"again").map(|()| true),
@@ -651,28 +653,28 @@
     let gateway = Gateway::with_settings(PROGRAM, discovery, &settings("await", 4));
     let (mut first, mut second) = (gateway.client(), gateway.client());
     first.send(&statement("once", 1, 5_000));
-    until("the first write", || server.asked().len() == 1);
+    wait_until("the first write", || server.asked().len() == 1);
     assert_eq!(second.ask(&statement("once", 2, 5_000)), value("well"));
     gateway.pause();
     turn.send(()).expect("it waits");
-    away.recv_timeout(BOUND).expect("it was turned away");
+    away.recv_timeout(WAIT_TIMEOUT).expect("it was turned away");
     end.send(()).expect("it waits");
-    until("the end of the idle connection", || server.ended() == 1);
+    wait_until("the end of the idle connection", || server.ended() == 1);
     gateway.signal("CONT");
     assert_eq!(first.reply(), value("again"));
     assert_eq!([server.asked().len(), server.came()], [3, 3]);
 }
 
-/// A client leaves and another one takes its `id` while the first attempt is still out: each answer is its own
-/// attempt's.
+/// A client leaves and another one reuses its `id` while the first attempt is in flight: each answer belongs to its own
+/// attempt.
 #[test]
 fn an_id_that_is_taken_again_gets_its_own_answer() {
     let (go, goes) = mpsc::channel::<()>();
     let goes = std::sync::Mutex::new(goes);
-    let server = Gated::start(usize::MAX, move |met| {
+    let server = GatedServer::start(usize::MAX, move |met| {
         let first = met.whole()? == 0;
         if first {
-            let _ = goes.lock().expect("one at a time").recv_timeout(BOUND);
+            let _ = goes.lock().expect("one at a time").recv_timeout(WAIT_TIMEOUT);
         }
         met.answer(true, if first { b"the first's" } else { b"the second's" })?;
         Ok(true)
@@ -681,12 +683,12 @@
     let gateway = Gateway::with_settings(PROGRAM, discovery, &settings("await", 4));
     let mut leaving = gateway.client();
     leaving.send(&statement("once", 1, 5_000));
-    until("the first one's write", || server.asked().len() == 1);
+    wait_until("the first one's write", || server.asked().len() == 1);
     drop(leaving);
     let mut client = gateway.client();
     let mut reply = client.ask(&statement("once", 1, 5_000));
-    // Until its end was noticed the id is the first one's.
-    until("the first one's end", || {
+    // Until its end was noticed the id belongs to the first one.
+    wait_until("the first one's end", || {
         if reply == Reply::Error("42601".into(), None) {
             reply = client.ask(&statement("once", 1, 5_000));
         }
--- a/crates/expect/benches/runs.rs
+++ b/crates/expect/benches/runs.rs
@@ -1,4 +1,4 @@
-//! How many runs and calls on the router a second, and what each server and expectation adds.
+//! Runs and router calls per second, and the cost of each server and expectation.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -12,7 +12,7 @@
 fn runs(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("expect");
     group.sample_size(10);
-    // Shards, members of each, expectations.
+    // Shards, members per shard, expectations.
     for (shards, members, expectations) in [(1, 4, 5), (5, 4, 5), (10, 6, 5), (10, 6, 40), (20, 6, 40)] {
         let (config, text) = large(shards, members, expectations);
         let input = input(config, &[&text], "").expect("it is read");
--- a/crates/expect/src/check.rs
+++ b/crates/expect/src/check.rs
@@ -1,4 +1,4 @@
-//! One check from files to verdicts.
+//! A complete check: from files to verdicts.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -10,19 +10,19 @@
 use crate::contradiction;
 use crate::coverage::{self, Gap};
 use crate::expectation::{self, Expectation, Suite};
-use crate::explore::{self, Bounds, Counterexample, Found, Make, Tally, named_by};
+use crate::explore::{self, Bounds, Counterexample, RouterFactory, SearchResult, SearchStats, named_by};
 use crate::judge;
 use crate::scope::Scope;
-use crate::steer::Steer;
+use crate::steer::CheckedRouter;
 use crate::subject::Subject;
 
-/// Files that belong together: a configuration, the expectations and worlds beside it, the program's settings.
+/// Files of a check: a configuration, its expectations and scenarios, and the program's settings.
 pub struct Input {
     pub subject: Arc<Subject>,
     pub suite: Suite,
     pub files: Vec<Ini>,
     pub bounds: ExpectSettings,
-    /// Where the program's settings stand; empty: there are none.
+    /// Path of the settings file; empty if none.
     pub settings_file: String,
 }
 
@@ -51,16 +51,16 @@
 #[derive(Clone, Debug)]
 pub enum Verdict {
     Holds,
-    /// It fails before any run.
+    /// It fails without any run.
     Contradicts(SettingsError),
-    /// A run breaks it.
+    /// A run violates it.
     Broken(Box<Counterexample>),
-    /// No run goes where some run must be able to.
+    /// No run reaches a server that some run must reach.
     NotReached {
         key: &'static str,
         why: String,
     },
-    /// Nothing that was found fails, but the search was cut short before the rest was known.
+    /// No violation was found, but the search was incomplete.
     Open {
         why: String,
     },
@@ -70,18 +70,18 @@
 pub struct Checked {
     pub name: String,
     pub verdict: Verdict,
-    pub tally: Tally,
+    pub tally: SearchStats,
 }
 
-/// The verdicts on a whole suite.
+/// Verdicts on all expectations.
 #[derive(Clone, Debug)]
 pub struct Report {
     pub config: String,
     pub checked: Vec<Checked>,
-    /// Contradictions of worlds and settings, which no single expectation has.
+    /// Contradictions of scenarios and settings, independent of any expectation.
     pub faults: Vec<SettingsError>,
     pub gaps: Vec<Gap>,
-    pub tally: Tally,
+    pub tally: SearchStats,
 }
 
 impl Report {
@@ -89,20 +89,24 @@
         self.faults.is_empty() && self.checked.iter().all(|one| matches!(one.verdict, Verdict::Holds))
     }
 
-    /// Something fails for certain.
+    /// Whether there is a definite failure.
     pub fn fails(&self) -> bool {
         let certain = |verdict: &Verdict| !matches!(verdict, Verdict::Holds | Verdict::Open { .. });
         !self.faults.is_empty() || self.checked.iter().any(|one| certain(&one.verdict))
     }
 }
 
-/// The router itself.
+/// Creates the router itself.
 pub fn router(settings_by_name: &SettingsByName, seed: u64) -> Result<Router, String> {
     Router::new(settings_by_name.clone(), seed)
 }
 
-/// Checks all expectations; `stop` tells when the time is over. Input that can't be used at all is an error.
-pub fn check<S: Steer>(input: &Input, stop: &dyn Fn() -> bool, make: Make<S>) -> Result<Report, String> {
+/// Checks all expectations; `stop` tells when the time is over. Unusable input is an error.
+pub fn check<S: CheckedRouter>(
+    input: &Input,
+    stop: &dyn Fn() -> bool,
+    make: RouterFactory<S>,
+) -> Result<Report, String> {
     let Input { subject, suite, .. } = input;
     if suite.expectations.is_empty() {
         return Err("there is no [expectation NAME] in the files".into());
@@ -116,12 +120,12 @@
         checked: Vec::new(),
         faults: judge::settings_lag(subject, &input.bounds, &input.settings_file).into_iter().collect(),
         gaps: coverage::gaps(subject, suite),
-        tally: Tally::default(),
+        tally: SearchStats::default(),
     };
     for (place, expectation) in suite.expectations.iter().enumerate() {
         let contradicts = contradictions.iter().find(|c| c.expectation == Some(place));
         let (verdict, tally) = match contradicts {
-            Some(found) => (Verdict::Contradicts(found.fault.clone()), Tally::default()),
+            Some(found) => (Verdict::Contradicts(found.fault.clone()), SearchStats::default()),
             None => {
                 let bounds = Bounds { runs: input.bounds.runs, stop };
                 let found = explore::expectation(subject, &suite.worlds, expectation, &bounds, make)?;
@@ -136,14 +140,14 @@
     Ok(report)
 }
 
-fn verdict(input: &Input, expectation: &Expectation, found: &Found) -> Verdict {
+fn verdict(input: &Input, expectation: &Expectation, found: &SearchResult) -> Verdict {
     if let Some(counterexample) = &found.counterexample {
         return Verdict::Broken(Box::new(counterexample.clone()));
     }
     let named = |scope: &Scope| named_by(&input.subject, &input.suite.worlds, expectation, scope);
     let name = |server: &usize| input.subject.servers[*server].name.as_str();
     let missing = |key: &'static str, why: String| match &found.tally.cut_short {
-        // What comes with a crowd is left to chance, but no run was left out.
+        // Commands that arrive together are left to the random generator, but no run was omitted.
         Some(cut) if expectation.at_once == 1 => Verdict::Open { why: format!("'{key}': {why}, but {cut}") },
         _ => Verdict::NotReached { key, why },
     };
--- a/crates/expect/src/compare.rs
+++ b/crates/expect/src/compare.rs
@@ -1,16 +1,16 @@
-//! What two configurations, or two lists of servers, route differently.
+//! Differences between the routes of two configurations, or of two server lists.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use crate::explore::{Bounds, Make, Seen};
+use crate::explore::{Bounds, ObservedBehavior, RouterFactory};
 use crate::judge::time;
 use crate::state::{self, STATES};
-use crate::steer::Steer;
+use crate::steer::CheckedRouter;
 use crate::subject::Subject;
 use crate::suggest::{names, observe};
 
-/// One thing that differs.
+/// A difference.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Difference {
     pub command_group: String,
@@ -21,12 +21,12 @@
     pub new: String,
 }
 
-/// Compares where commands of each group go on each shard in each state that both have.
-pub fn compare<S: Steer>(
+/// Compares the targets of commands of each group on each shard in each common state.
+pub fn compare<S: CheckedRouter>(
     old: &Arc<Subject>,
     new: &Arc<Subject>,
     bounds: &Bounds,
-    make: Make<S>,
+    make: RouterFactory<S>,
 ) -> Result<Vec<Difference>, String> {
     let mut found = Vec::new();
     let names = |subject: &Subject| subject.command_groups.iter().map(|group| group.name.clone()).collect();
@@ -85,13 +85,17 @@
     }
 }
 
-fn differs(old: (&Subject, &Seen), new: (&Subject, &Seen)) -> Vec<(&'static str, String, String)> {
-    let each = |told: &dyn Fn(&Subject, &Seen) -> String| (told(old.0, old.1), told(new.0, new.1));
+fn differs(
+    old: (&Subject, &ObservedBehavior),
+    new: (&Subject, &ObservedBehavior),
+) -> Vec<(&'static str, String, String)> {
+    let each =
+        |told: &dyn Fn(&Subject, &ObservedBehavior) -> String| (told(old.0, old.1), told(new.0, new.1));
     let list = |subject: &Subject, servers: &BTreeSet<usize>| match servers.is_empty() {
         true => "nowhere".to_string(),
         false => names(subject, servers).into_iter().collect::<Vec<_>>().join(", "),
     };
-    let ends = |seen: &Seen| {
+    let ends = |seen: &ObservedBehavior| {
         let each = ["answered", "throttled", "failed"].into_iter().zip(seen.latest);
         let told = each.filter_map(|(word, at)| Some(format!("{word} by {}", time(at?))));
         told.collect::<Vec<_>>().join(", ")
@@ -108,7 +112,7 @@
     .collect()
 }
 
-/// The differences as a table; empty where there are none.
+/// The differences as a table; empty if there are none.
 pub fn table(differences: &[Difference]) -> String {
     if differences.is_empty() {
         return String::new();
--- a/crates/expect/src/contradiction.rs
+++ b/crates/expect/src/contradiction.rs
@@ -1,5 +1,5 @@
-//! What is wrong with expectations before any run: more lag allowed than a command group permits, two that can't both
-//! hold, and those that can never apply.
+//! Static checks of expectations: more lag allowed than a command group permits, contradictory expectations, and those
+//! that can never apply.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,15 +10,15 @@
 use crate::explore::{from_zone, named_by};
 use crate::judge::{lag_beyond_bound, time};
 use crate::scope::{Scope, Term};
-use crate::state::{self, Described};
+use crate::state::{self, DescribedWorld};
 use crate::subject::{Effect, Need, Subject};
-use crate::truth::Happens;
-use crate::world::{BEGIN, Start};
+use crate::truth::DispatchFate;
+use crate::world::{START_TIME, Start};
 
-/// Why an expectation fails before any run.
+/// Why an expectation fails without a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Contradiction {
-    /// Its place among the expectations; None: it lies in a world or in the settings.
+    /// Index of the expectation; `None` for a scenario or the settings.
     pub expectation: Option<usize>,
     pub fault: SettingsError,
 }
@@ -45,8 +45,8 @@
     found
 }
 
-/// What the configuration says of a command group, against what it is expected to say. Guards against a group that
-/// becomes free to repeat, or whose window or bound is raised, and all that is checked by runs still holds.
+/// Compares the configuration of a command group with what is expected of it. Finds groups that became repeatable, or
+/// whose window or bound was raised, although all runs still pass.
 fn stated(subject: &Subject, expectation: &Expectation) -> Option<SettingsError> {
     let (must, section) = (&expectation.must, &expectation.section);
     expectation.commands.iter().find_map(|k| {
@@ -84,7 +84,7 @@
     })
 }
 
-/// Scopes that say where commands may go.
+/// Scopes that allow targets.
 fn allowing(expectation: &Expectation) -> impl Iterator<Item = (&'static str, &Scope)> {
     let must = &expectation.must;
     let scopes = [("only", &must.only), ("may", &must.may), ("some", &must.some)];
@@ -99,8 +99,8 @@
     })
 }
 
-/// A world that allows a replica more lag than some command group that reads from replicas permits.
-fn world_lag(subject: &Subject, world: &Described) -> Option<SettingsError> {
+/// A scenario in which a replica may lag more than some command group that reads from replicas permits.
+fn world_lag(subject: &Subject, world: &DescribedWorld) -> Option<SettingsError> {
     let all: Vec<usize> = (0..subject.command_groups.len()).collect();
     world.lag_allowed.iter().find_map(|(server, allowed)| {
         let message = lag_beyond_bound(subject, *allowed, &all)?;
@@ -109,7 +109,12 @@
     })
 }
 
-fn all_fit(subject: &Arc<Subject>, worlds: &[Described], expectation: &Expectation, scope: &Scope) -> bool {
+fn all_fit(
+    subject: &Arc<Subject>,
+    worlds: &[DescribedWorld],
+    expectation: &Expectation,
+    scope: &Scope,
+) -> bool {
     let lags = expectation.must.lags();
     expectation.zones.iter().all(|zone| {
         let subject = from_zone(subject, *zone);
@@ -117,15 +122,19 @@
             expectation.states.iter().all(|state| {
                 let starts = state::starts_with(&subject, worlds, state, *shard, &lags);
                 starts.iter().all(|start| {
-                    subject.members(*shard).all(|s| scope.has(&subject, s, &start.truths[s], BEGIN))
+                    subject.members(*shard).all(|s| scope.has(&subject, s, &start.truths[s], START_TIME))
                 })
             })
         })
     })
 }
 
-/// An expectation that no run can break or meet.
-fn vacuous(subject: &Arc<Subject>, worlds: &[Described], expectation: &Expectation) -> Option<SettingsError> {
+/// An expectation that no run can violate or fulfil.
+fn vacuous(
+    subject: &Arc<Subject>,
+    worlds: &[DescribedWorld],
+    expectation: &Expectation,
+) -> Option<SettingsError> {
     let section = &expectation.section;
     let mut any = false;
     for zone in &expectation.zones {
@@ -154,7 +163,7 @@
             return Some(section.error_at(key, message));
         }
     }
-    // An `only` that each server of every world meets says nothing of where commands go.
+    // An `only` that every server meets in every scenario says nothing about targets.
     if let Some(scope) = &must.only
         && !may_arise(scope, expectation)
         && all_fit(subject, worlds, expectation, scope)
@@ -192,22 +201,26 @@
         .then(|| section.error_at("held", "it never applies: clients do not wait that long"))
 }
 
-/// Roles may change in the middle of a run, so that a scope may fit where it did not at the beginning.
+/// Whether roles may change during a run, so that a scope may apply that did not at the start.
 fn may_arise(scope: &Scope, expectation: &Expectation) -> bool {
-    let changing = expectation.faults.contains(&Happens::Change);
+    let changing = expectation.faults.contains(&DispatchFate::Change);
     let role = |term: &Term| matches!(term, Term::Primary | Term::Replica);
     changing && scope.phrases.iter().flatten().any(role)
 }
 
 /// An expectation that contradicts itself.
-fn itself(subject: &Arc<Subject>, worlds: &[Described], expectation: &Expectation) -> Option<SettingsError> {
+fn itself(
+    subject: &Arc<Subject>,
+    worlds: &[DescribedWorld],
+    expectation: &Expectation,
+) -> Option<SettingsError> {
     both(subject, worlds, expectation, expectation)
 }
 
-/// Why two expectations can't both hold, where they speak of the same commands in the same worlds.
+/// Why two expectations about the same commands and scenarios cannot both hold.
 fn both(
     subject: &Arc<Subject>,
-    worlds: &[Described],
+    worlds: &[DescribedWorld],
     one: &Expectation,
     other: &Expectation,
 ) -> Option<SettingsError> {
@@ -262,18 +275,18 @@
     }
 }
 
-/// What one expectation demands and another forbids, in every world that they share.
+/// What one expectation demands and the other forbids in every common scenario.
 fn disjoint(
     worlds: &[(Arc<Subject>, usize, Start)],
     one: &Expectation,
     other: &Expectation,
 ) -> Option<(&'static str, String)> {
-    // Servers of a scope, and those of them that the other expectation leaves in some world.
+    // Servers of a scope, and those of them that the other expectation permits in some scenario.
     let left = |scope: &Scope| {
         let (mut named, mut left) = (BTreeSet::new(), BTreeSet::new());
         for (subject, shard, start) in worlds {
             let fits =
-                |scope: &Scope, server: usize| scope.has(subject, server, &start.truths[server], BEGIN);
+                |scope: &Scope, server: usize| scope.has(subject, server, &start.truths[server], START_TIME);
             let must = &other.must;
             for server in subject.members(*shard).filter(|server| fits(scope, *server)) {
                 named.insert(server);
@@ -293,7 +306,7 @@
             return Some(("only", format!("no server is left of '{}'", only.text)));
         }
     }
-    // What must be reached may be reached in worlds that the other does not speak of.
+    // Servers that must be reached may be reached in scenarios that the other one does not cover.
     let all = one.states.iter().all(|state| other.states.contains(state))
         && within(&one.shards, &other.shards)
         && within(&one.zones, &other.zones)
--- a/crates/expect/src/coverage.rs
+++ b/crates/expect/src/coverage.rs
@@ -1,4 +1,4 @@
-//! What no expectation speaks of: command groups, shards and states.
+//! Coverage: command groups, shards and states without any expectation.
 
 use std::collections::BTreeSet;
 
@@ -6,17 +6,16 @@
 use crate::state::{self, STATES, State};
 use crate::subject::Subject;
 
-/// Shards of a command group that no expectation looks at in this state.
+/// Shards of a command group that no expectation covers in a state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Gap {
     pub command_group: String,
     pub state: String,
-    /// Empty: all of them.
+    /// Empty for all shards.
     pub shards: Vec<String>,
 }
 
-/// The gaps of each command group, those that leave out whole states first. States that a shard can't be in count
-/// for nothing.
+/// Gaps of each command group, whole states first. States that a shard cannot be in are ignored.
 pub fn gaps(subject: &Subject, suite: &Suite) -> Vec<Gap> {
     let mut touched: BTreeSet<(usize, usize, usize)> = BTreeSet::new();
     let states: Vec<State> = STATES.iter().map(|(_, state)| state.clone()).collect();
--- a/crates/expect/src/expectation.rs
+++ b/crates/expect/src/expectation.rs
@@ -1,4 +1,4 @@
-//! Expectations as they stand in a file: which commands, in which states of the world, and what must hold.
+//! Parsing of expectations: which commands, in which states, and what must hold.
 
 use std::collections::BTreeSet;
 
@@ -8,49 +8,49 @@
 };
 
 use crate::scope::{self, Scope, Term};
-use crate::state::{self, Described, STATES, State};
+use crate::state::{self, DescribedWorld, STATES, State};
 use crate::subject::Subject;
-use crate::truth::{FAULTS, Happens};
+use crate::truth::{DispatchFate, FAULTS};
 
-/// Faults of one run that can be asked for, and commands at once.
-const FAULTS_MOST: u64 = 4;
-const AT_ONCE_MOST: u64 = 200;
+/// Most faults in a run, and most simultaneous commands.
+const MAX_FAULTS: u64 = 4;
+const MAX_SIMULTANEOUS: u64 = 200;
 
-/// How a command may end.
+/// When a command may end in some way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Limit {
     Never,
     Always,
-    /// If so, then within this time of its arrival, in microseconds.
+    /// If at all, within this time of its arrival in microseconds.
     Within(Micros),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
-pub struct Must {
+pub struct Requirements {
     pub only: Option<Scope>,
     pub never: Option<Scope>,
-    /// Each of these servers is reached by some run; any of them is.
+    /// Each of these servers must be reached by some run; any of them may be.
     pub may: Option<Scope>,
     pub some: Option<Scope>,
-    /// The client's zone is not left while a server there qualifies.
+    /// The client's zone must not be left while a server there qualifies.
     pub own_zone_first: bool,
-    /// Dispatches of a command at most.
+    /// Most dispatches of a command.
     pub tries: Option<usize>,
-    /// Never sent again once it may have run.
+    /// Never sent again once it may have executed.
     pub once: bool,
     pub answered: Option<Limit>,
     pub throttled: Option<Limit>,
     pub failed: Option<Limit>,
-    /// The longest that it is kept without a dispatch, in microseconds.
+    /// Longest time without a dispatch in microseconds.
     pub held: Option<Micros>,
-    /// What the configuration must say of the command groups: how repeats are told, for how long at most, and the age
-    /// of the data at most. Times in microseconds.
+    /// What the configuration must specify for the command groups: effect of repeats, longest window, and largest age
+    /// of data. Times in microseconds.
     pub effect: Option<Stated>,
     pub repeat_within: Option<Micros>,
     pub bound: Option<Micros>,
 }
 
-/// An effect as an expectation names it.
+/// An effect as named by an expectation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stated {
     Replayable,
@@ -61,8 +61,8 @@
 pub const EFFECTS: [(&str, Stated); 3] =
     [("replayable", Stated::Replayable), ("keyed", Stated::Keyed), ("mutating", Stated::Mutating)];
 
-impl Must {
-    /// Lags that its scopes name, in microseconds, each once and the least first.
+impl Requirements {
+    /// Lags named by its scopes in microseconds, sorted and without duplicates.
     pub fn lags(&self) -> Vec<Micros> {
         let scopes = [&self.only, &self.never, &self.may, &self.some].into_iter().flatten();
         let terms = scopes.flat_map(|scope| scope.phrases.iter().flatten());
@@ -78,31 +78,31 @@
     pub commands: Vec<usize>,
     pub shards: Vec<usize>,
     pub zones: Vec<usize>,
-    /// Whether commands belong to a session, and how long before it last wrote, in microseconds.
+    /// Whether commands belong to a session, and the time since its last write in microseconds.
     pub session: bool,
     pub written_ago: Option<Micros>,
     pub states: Vec<State>,
-    pub faults: Vec<Happens>,
-    /// How many of those faults one run may meet.
+    pub faults: Vec<DispatchFate>,
+    /// Most of these faults in one run.
     pub fault_count: usize,
-    /// Whether one run may meet each of them once only.
+    /// Whether each of them may occur only once in a run.
     pub each_once: bool,
     pub seeds: u64,
-    /// Commands that come at once, or evenly over so long, in microseconds; the last is looked at.
+    /// Simultaneous commands, or evenly spread over a time in microseconds; the last one is examined.
     pub at_once: usize,
     pub over: Micros,
-    pub must: Must,
+    pub must: Requirements,
 }
 
-/// All that the files say.
+/// Content of all files.
 #[derive(Clone, Debug, Default)]
 pub struct Suite {
     pub expectations: Vec<Expectation>,
-    pub worlds: Vec<Described>,
+    pub worlds: Vec<DescribedWorld>,
 }
 
-/// Keys that say which commands, in which worlds.
-const WHICH: [&str; 11] = [
+/// Keys that select commands and scenarios.
+const SELECTING_KEYS: [&str; 11] = [
     "commands",
     "shards",
     "zones",
@@ -116,8 +116,8 @@
     "over",
 ];
 
-/// Keys that say what must hold.
-const MUST: [&str; 14] = [
+/// Keys that state what must hold.
+const REQUIREMENT_KEYS: [&str; 14] = [
     "only",
     "never",
     "may",
@@ -134,7 +134,7 @@
     "bound",
 ];
 
-/// Adds the servers that files describe, `[server NAME]`, to those that the configuration lists.
+/// Adds the servers in sections `[server NAME]` to those of the configuration.
 pub fn add_servers(subject: &mut Subject, files: &[Ini]) -> Result<(), SettingsError> {
     for section in files.iter().flat_map(|file| &file.sections) {
         let ("server", name) = section.kind() else { continue };
@@ -156,7 +156,7 @@
 }
 
 impl Suite {
-    /// Reads worlds and expectations; servers have been added before.
+    /// Parses scenarios and expectations; servers must have been added before.
     pub fn read(files: &[Ini], subject: &Subject, bounds: &ExpectSettings) -> Result<Suite, SettingsError> {
         let mut suite = Suite::default();
         let sections = || files.iter().flat_map(|file| &file.sections);
@@ -181,22 +181,24 @@
     }
 }
 
-/// Reads a section `[expectation NAME]`.
+/// Parses a section `[expectation NAME]`.
 pub fn expectation(
     section: &Section,
     subject: &Subject,
-    worlds: &[Described],
+    worlds: &[DescribedWorld],
     bounds: &ExpectSettings,
 ) -> Result<Expectation, SettingsError> {
     let (_, name) = section.kind();
     if name.is_empty() {
         return Err(section.error("an expectation wants a name: [expectation NAME]"));
     }
-    section.only(&[&WHICH[..], &MUST].concat())?;
-    if !MUST.iter().any(|key| section.entry(key).is_some()) {
-        return Err(section.error(format!("nothing must hold; keys for that are {}", MUST.join(", "))));
+    section.only(&[&SELECTING_KEYS[..], &REQUIREMENT_KEYS].concat())?;
+    if !REQUIREMENT_KEYS.iter().any(|key| section.entry(key).is_some()) {
+        return Err(
+            section.error(format!("nothing must hold; keys for that are {}", REQUIREMENT_KEYS.join(", ")))
+        );
     }
-    // A list of names, or a star for all that there are.
+    // A list of names, or an asterisk for all.
     let all = |key: &str, absent: &str, count: usize, read: &dyn Fn(&str) -> Result<usize, String>| {
         let text = section.entry(key).map_or(absent, |entry| entry.value.as_str());
         match text {
@@ -247,7 +249,7 @@
             },
         })
     };
-    let must = Must {
+    let must = Requirements {
         only: scoped("only")?,
         never: scoped("never")?,
         may: scoped("may")?,
@@ -264,7 +266,7 @@
         bound: section.value("bound", duration)?,
     };
     let faults = faults.unwrap_or_default();
-    let fault_count = section.value("fault_count", up_to(FAULTS_MOST))?;
+    let fault_count = section.value("fault_count", up_to(MAX_FAULTS))?;
     let repeats = [("once", true), ("again", false)];
     let each_once = section.value("each_fault", |text| one_of("way", text, &repeats))?.unwrap_or(false);
     let seeds = section.value("seeds", |text| match whole(text)? {
@@ -286,7 +288,7 @@
         each_once,
         seeds: seeds.unwrap_or(bounds.seeds),
         over: section.value("over", duration)?.unwrap_or(0),
-        at_once: section.value("at_once", up_to(AT_ONCE_MOST))?.unwrap_or(1).max(1),
+        at_once: section.value("at_once", up_to(MAX_SIMULTANEOUS))?.unwrap_or(1).max(1),
         must,
     })
 }
--- a/crates/expect/src/explain.rs
+++ b/crates/expect/src/explain.rs
@@ -1,23 +1,23 @@
-//! One command explained: how servers stand, each question and its answer.
+//! Explanation of one command: state of the servers, each question to the router and its answer.
 
 use std::fmt::Write;
 use std::sync::Arc;
 
-use crate::explore::Make;
+use crate::explore::RouterFactory;
 use crate::judge::{stands, time};
 use crate::report::narrate;
 use crate::scope;
-use crate::state::{self, Described, State};
-use crate::steer::Steer;
+use crate::state::{self, DescribedWorld, State};
+use crate::steer::CheckedRouter;
 use crate::subject::{Need, Subject};
-use crate::world::{BEGIN, Coming, Stop, World};
+use crate::world::{IncomingCommand, PauseReason, START_TIME, World};
 
-/// What is to be explained, such as `lookup 4 hung`: command group, shard and, where it is not calm, the state.
-pub fn explain<S: Steer>(
+/// What to explain, such as `lookup 4 hung`: command group, shard and, if not calm, the state.
+pub fn explain<S: CheckedRouter>(
     subject: &Arc<Subject>,
-    worlds: &[Described],
+    worlds: &[DescribedWorld],
     what: &str,
-    make: Make<S>,
+    make: RouterFactory<S>,
 ) -> Result<String, String> {
     let words: Vec<&str> = what.split_whitespace().collect();
     let (command, shard, state) = match words[..] {
@@ -51,10 +51,10 @@
             let _ = writeln!(out, "  {}: zone {zone}{own}; {}", facts.name, stands(subject, truth));
         }
         let session = (group.need == Need::Session).then_some(1);
-        let coming = Coming { after: 0, command_group, shard: place, session, written_ago: None };
+        let coming = IncomingCommand { after: 0, command_group, shard: place, session, written_ago: None };
         let router = make(&subject.settings_by_name, 0)?;
         let mut world = World::begin(subject.clone(), router, start, Arc::new(vec![coming]));
-        while let Stop::Sent { dispatch, server, timeout } = world.run() {
+        while let PauseReason::Sent { dispatch, server, timeout } = world.run() {
             world.happens(0, dispatch, server, timeout, None);
         }
         let trail: Vec<_> = world.trail.iter().cloned().collect();
@@ -62,7 +62,7 @@
             let _ = writeln!(out, "{line}");
         }
         if let Some((at, end)) = world.last().end {
-            let _ = writeln!(out, "  -> {end:?} after {}", time(at - BEGIN));
+            let _ = writeln!(out, "  -> {end:?} after {}", time(at - START_TIME));
         }
     }
     Ok(out)
--- a/crates/expect/src/explore.rs
+++ b/crates/expect/src/explore.rs
@@ -1,9 +1,9 @@
-//! The search: every pick of chance and every outcome that an expectation asks for, from every world of its states,
-//! the runs with the fewest faults first.
+//! Exhaustive search: every random pick and every outcome requested by an expectation, from every scenario of its
+//! states, runs with the fewest faults first.
 //!
-//! A run goes from one dispatch of the command that is looked at to the next. There the world is forked, once for each
-//! outcome. Between two dispatches only chance is open: the stretch is run again from the last fork with the next
-//! pick. Worlds that were met before with as many faults left are dropped.
+//! A run proceeds from one dispatch of the examined command to the next, where the simulation is forked for each
+//! outcome. Between two dispatches only random picks are open: the section is repeated from the last fork with the
+//! next pick. States already visited with as many faults left are dropped.
 
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
@@ -11,44 +11,44 @@
 use rustc_hash::{FxHashMap, FxHashSet, FxHasher};
 use tansyjunction::interface::*;
 
-use crate::expectation::{Expectation, Must};
-use crate::judge::{self, Broken};
-use crate::state::{self, Described, State};
-use crate::steer::Steer;
+use crate::expectation::{Expectation, Requirements};
+use crate::judge::{self, Violation};
+use crate::state::{self, DescribedWorld, State};
+use crate::steer::CheckedRouter;
 use crate::subject::Subject;
-use crate::truth::Happens;
-use crate::world::{Coming, End, Start, Step, Stop, World};
+use crate::truth::DispatchFate;
+use crate::world::{End, IncomingCommand, PauseReason, Start, Step, World};
 
-/// Picks among up to so many are all tried; wider draws stay with the seeds.
-const PICKS_MOST: usize = 64;
+/// Picks with up to this many values are all tried; others use the seeded generator.
+const MAX_PRESCRIBED_BOUND: usize = 64;
 
-/// Bounds that the caller sets.
+/// Limits set by the caller.
 pub struct Bounds<'a> {
-    /// Runs of one expectation.
+    /// Most runs per expectation.
     pub runs: u64,
-    /// Tells when the time is over.
+    /// Whether the time is over.
     pub stop: &'a dyn Fn() -> bool,
 }
 
-/// What was looked at, and whether that was all.
+/// Statistics of a search.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
-    /// Worlds begun, one for each seed; runs to their end; forks; worlds dropped since they had been met.
+pub struct SearchStats {
+    /// Simulations started, one per seed; completed runs; forks; states dropped as already visited.
     pub worlds: u64,
     pub runs: u64,
     pub forks: u64,
     pub met: u64,
-    /// Calls on the router.
+    /// Calls of the router.
     pub calls: u64,
     pub seeds: u64,
-    /// Faults in one run at most.
+    /// Most faults in a run.
     pub faults: usize,
-    /// Why the search was not exhaustive within its faults; None: it was.
+    /// Why the search was not exhaustive within its faults; `None` if it was.
     pub cut_short: Option<String>,
 }
 
-impl Tally {
-    pub fn add(&mut self, other: &Tally) {
+impl SearchStats {
+    pub fn add(&mut self, other: &SearchStats) {
         self.worlds += other.worlds;
         self.runs += other.runs;
         self.forks += other.forks;
@@ -62,60 +62,60 @@
     }
 }
 
-/// What was decided at one fork: the picks on the way there, and what became of the dispatch.
+/// Choices at a fork: the picks before it, and the outcome of the dispatch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Choice {
     pub picks: Vec<usize>,
-    /// None: what the world had in store, or the run's end.
-    pub happens: Option<Happens>,
+    /// `None`: what the scenario determines, or the end of the run.
+    pub happens: Option<DispatchFate>,
 }
 
-/// One beginning, fully told: what is needed to run it again.
+/// Complete description of a start, sufficient to repeat it.
 #[derive(Clone, Debug)]
 pub struct Setting {
     pub command: usize,
     pub shard: usize,
     pub zone: usize,
     pub state: State,
-    /// Which world of the state.
+    /// Index among the scenarios of the state.
     pub place: usize,
     pub seed: u64,
 }
 
-/// A run that breaks an expectation.
+/// A run that violates an expectation.
 #[derive(Clone, Debug)]
 pub struct Counterexample {
     pub setting: Setting,
     pub world: String,
     pub choices: Vec<Choice>,
-    pub broken: Broken,
+    pub broken: Violation,
     pub trail: Vec<Step>,
     pub faults: usize,
     pub dispatches: usize,
 }
 
-/// What commands of one setting did, over all runs.
+/// What commands of one setting did over all runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct ObservedBehavior {
     pub first: std::collections::BTreeSet<usize>,
     pub any: std::collections::BTreeSet<usize>,
     pub tries: usize,
-    /// The latest of each kind of end, in microseconds after the arrival: answered, throttled, failed.
+    /// Latest end of each kind in microseconds after arrival: answered, throttled, failed.
     pub latest: [Option<Micros>; 3],
     pub held: Micros,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Found {
-    pub tally: Tally,
+pub struct SearchResult {
+    pub tally: SearchStats,
     pub counterexample: Option<Counterexample>,
-    pub seen: Seen,
+    pub seen: ObservedBehavior,
 }
 
-/// Makes a router from settings and a seed.
-pub type Make<'a, S> = &'a dyn Fn(&SettingsByName, u64) -> Result<S, String>;
+/// Creates a router from settings and a seed.
+pub type RouterFactory<'a, S> = &'a dyn Fn(&SettingsByName, u64) -> Result<S, String>;
 
-/// A subject as it looks from another zone.
+/// The subject as seen from another zone.
 pub fn from_zone(subject: &Arc<Subject>, zone: usize) -> Arc<Subject> {
     if subject.own_zone == zone {
         return subject.clone();
@@ -126,15 +126,15 @@
     Arc::new(other)
 }
 
-/// What comes to the gateway for an expectation: the command that is looked at last, others before it.
-pub fn coming(
+/// Commands that arrive for an expectation: earlier ones, then the examined one.
+pub fn incoming_commands(
     subject: &Subject,
     expectation: &Expectation,
     command: usize,
     shard: usize,
-) -> Arc<Vec<Coming>> {
+) -> Arc<Vec<IncomingCommand>> {
     let session = expectation.session.then_some(1);
-    let one = |after: Micros, command_group: usize, written_ago: Option<Micros>| Coming {
+    let one = |after: Micros, command_group: usize, written_ago: Option<Micros>| IncomingCommand {
         after,
         command_group,
         shard,
@@ -142,7 +142,7 @@
         written_ago,
     };
     let mut all = Vec::new();
-    // Where clients bring no mark along, the session's write has to pass through the gateway first.
+    // Where clients send no position along, the session's write must pass through the gateway first.
     let write = subject.command_groups.iter().position(|group| group.writes());
     let before = expectation.written_ago.filter(|_| !subject.figures.carried);
     if let (Some(ago), Some(write)) = (before, write) {
@@ -156,34 +156,34 @@
     Arc::new(all)
 }
 
-/// Worlds met, and with how many faults left at most. Chance is no part of them, so that seeds share it.
-type Met = FxHashMap<u64, usize>;
+/// Visited states with the most faults left. Random numbers are excluded, so that seeds share it.
+type VisitedStates = FxHashMap<u64, usize>;
 
 struct Search<'a> {
-    must: &'a Must,
-    faults: &'a [Happens],
+    must: &'a Requirements,
+    faults: &'a [DispatchFate],
     each_once: bool,
     bounds: &'a Bounds<'a>,
     setting: Setting,
     name: String,
-    found: Found,
-    met: &'a mut Met,
+    found: SearchResult,
+    met: &'a mut VisitedStates,
     path: Vec<Choice>,
     left: u64,
 }
 
-/// Looks at one expectation in every world that it names. The search ends with the fewest faults that break it.
-pub fn expectation<S: Steer>(
+/// Searches all scenarios of an expectation. Ends with the fewest faults that violate it.
+pub fn expectation<S: CheckedRouter>(
     subject: &Arc<Subject>,
-    worlds: &[Described],
+    worlds: &[DescribedWorld],
     expectation: &Expectation,
     bounds: &Bounds,
-    make: Make<S>,
-) -> Result<Found, String> {
-    let mut total = Found::default();
+    make: RouterFactory<S>,
+) -> Result<SearchResult, String> {
+    let mut total = SearchResult::default();
     for level in 0..=expectation.fault_count {
-        let mut found = Found::default();
-        let mut met = Met::default();
+        let mut found = SearchResult::default();
+        let mut met = VisitedStates::default();
         every(subject, worlds, expectation, &mut |subject, start, setting, coming| {
             if setting.seed == 0 {
                 met.clear();
@@ -227,12 +227,13 @@
     Ok(total)
 }
 
-type Each<'a> = dyn FnMut(&Arc<Subject>, &Start, Setting, Arc<Vec<Coming>>) -> Result<bool, String> + 'a;
+type Each<'a> =
+    dyn FnMut(&Arc<Subject>, &Start, Setting, Arc<Vec<IncomingCommand>>) -> Result<bool, String> + 'a;
 
-/// Goes through all beginnings of an expectation, until `each` says that it is enough.
+/// Visits all starts of an expectation until `each` returns that it is enough.
 fn every(
     subject: &Arc<Subject>,
-    worlds: &[Described],
+    worlds: &[DescribedWorld],
     expectation: &Expectation,
     each: &mut Each,
 ) -> Result<(), String> {
@@ -246,7 +247,7 @@
                     for command in &expectation.commands {
                         for seed in 0..expectation.seeds {
                             let (command, shard, zone, state) = (*command, *shard, *zone, state.clone());
-                            let coming = coming(&subject, expectation, command, shard);
+                            let coming = incoming_commands(&subject, expectation, command, shard);
                             let setting = Setting { command, shard, zone, state, place, seed };
                             if !each(&subject, start, setting, coming)? {
                                 return Ok(());
@@ -261,17 +262,17 @@
 }
 
 #[allow(clippy::too_many_arguments)]
-fn setting_search<S: Steer>(
+fn setting_search<S: CheckedRouter>(
     subject: &Arc<Subject>,
     start: &Start,
     setting: Setting,
-    coming: Arc<Vec<Coming>>,
+    coming: Arc<Vec<IncomingCommand>>,
     expectation: &Expectation,
     faults: usize,
     bounds: &Bounds,
-    make: Make<S>,
-    met: &mut Met,
-) -> Result<Found, String> {
+    make: RouterFactory<S>,
+    met: &mut VisitedStates,
+) -> Result<SearchResult, String> {
     let router = make(&subject.settings_by_name, setting.seed)?;
     let world = World::begin(subject.clone(), router, start, coming);
     let mut search = Search {
@@ -281,7 +282,7 @@
         bounds,
         setting,
         name: start.name.clone(),
-        found: Found::default(),
+        found: SearchResult::default(),
         met,
         path: Vec::new(),
         left: bounds.runs,
@@ -293,8 +294,8 @@
 }
 
 impl Search<'_> {
-    /// Tries all that may follow from a world, with so many faults left.
-    fn from<S: Steer>(&mut self, anchor: World<S>, faults: usize) {
+    /// Tries everything that may follow from a state, with this many faults left.
+    fn from<S: CheckedRouter>(&mut self, anchor: World<S>, faults: usize) {
         let marks = self.marks(&anchor);
         match self.met.get(&marks) {
             Some(left) if *left >= faults => {
@@ -311,14 +312,14 @@
                 return;
             }
             let mut world = anchor.clone();
-            world.router.picks(Some(PrescribedDraws {
-                max_bound: PICKS_MOST,
+            world.router.prescribe_draws(Some(PrescribedDraws {
+                max_bound: MAX_PRESCRIBED_BOUND,
                 values: told.clone(),
                 drawn: Vec::new(),
             }));
             let before = world.calls;
             let stop = world.run();
-            let drawn = world.router.picks(None).map_or(Vec::new(), |picks| picks.drawn);
+            let drawn = world.router.prescribe_draws(None).map_or(Vec::new(), |picks| picks.drawn);
             self.found.tally.calls += world.calls - before;
             let picks: Vec<usize> = drawn.iter().map(|(_, drawn)| *drawn).collect();
             self.stretch(world, stop, picks, faults);
@@ -329,22 +330,29 @@
         }
     }
 
-    /// Marks of a world, and where each fault comes once only, of those that were met on the way.
-    fn marks<S: Steer>(&self, world: &World<S>) -> u64 {
+    /// Hash of a state, and, where each fault occurs only once, of those that have occurred.
+    fn marks<S: CheckedRouter>(&self, world: &World<S>) -> u64 {
         let mut hasher = FxHasher::default();
         world.digest().hash(&mut hasher);
         if self.each_once {
-            let mut faults: Vec<Happens> = self.path.iter().filter_map(|choice| choice.happens).collect();
+            let mut faults: Vec<DispatchFate> =
+                self.path.iter().filter_map(|choice| choice.happens).collect();
             faults.sort_unstable();
             faults.hash(&mut hasher);
         }
         hasher.finish()
     }
 
-    fn stretch<S: Steer>(&mut self, world: World<S>, stop: Stop, picks: Vec<usize>, faults: usize) {
+    fn stretch<S: CheckedRouter>(
+        &mut self,
+        world: World<S>,
+        stop: PauseReason,
+        picks: Vec<usize>,
+        faults: usize,
+    ) {
         self.path.push(Choice { picks, happens: None });
         match stop {
-            Stop::Sent { dispatch, server, timeout } => {
+            PauseReason::Sent { dispatch, server, timeout } => {
                 self.found.seen.sent(dispatch, server);
                 match judge::sent(self.must, &world, dispatch, server) {
                     Some(broken) => self.broke(&world, broken),
@@ -363,7 +371,7 @@
         self.path.pop();
     }
 
-    fn fork<S: Steer>(
+    fn fork<S: CheckedRouter>(
         &mut self,
         world: &World<S>,
         dispatch: usize,
@@ -375,8 +383,8 @@
         let in_store = world.in_store(command, server);
         let mut outcomes = vec![None];
         if faults > 0 {
-            let met = |fault: &Happens| self.path.iter().any(|choice| choice.happens == Some(*fault));
-            let open = |fault: &&Happens| **fault != in_store && !(self.each_once && met(fault));
+            let met = |fault: &DispatchFate| self.path.iter().any(|choice| choice.happens == Some(*fault));
+            let open = |fault: &&DispatchFate| **fault != in_store && !(self.each_once && met(fault));
             outcomes.extend(self.faults.iter().filter(open).copied().map(Some));
         }
         for happens in outcomes {
@@ -390,8 +398,8 @@
         }
     }
 
-    /// Keeps the shortest run that breaks what must hold.
-    fn broke<S: Steer>(&mut self, world: &World<S>, broken: Broken) {
+    /// Keeps the shortest run that violates the expectation.
+    fn broke<S: CheckedRouter>(&mut self, world: &World<S>, broken: Violation) {
         let faults = self.path.iter().filter(|choice| choice.happens.is_some()).count();
         let dispatches = world.last().held.dispatches.len();
         let size = (faults, dispatches, world.trail.len());
@@ -410,14 +418,14 @@
     }
 }
 
-/// The picks after these: the last that can go up does, and those behind it start anew.
+/// The next combination of picks: increments the last one possible and resets those after it.
 fn next_picks(drawn: &[(usize, usize)]) -> Option<Vec<usize>> {
     let last = drawn.iter().rposition(|(bound, drawn)| drawn + 1 < *bound)?;
     let kept = drawn[..last].iter().map(|(_, drawn)| *drawn);
     Some(kept.chain([drawn[last].1 + 1]).collect())
 }
 
-impl Seen {
+impl ObservedBehavior {
     fn sent(&mut self, dispatch: usize, server: usize) {
         if dispatch == 0 {
             self.first.insert(server);
@@ -426,7 +434,7 @@
         self.tries = self.tries.max(dispatch + 1);
     }
 
-    fn over<S: Steer>(&mut self, world: &World<S>) {
+    fn over<S: CheckedRouter>(&mut self, world: &World<S>) {
         let hand = world.last();
         self.held = self.held.max(hand.idle);
         let Some((at, end)) = hand.end else { return };
@@ -438,7 +446,7 @@
         self.latest[place] = self.latest[place].max(Some(at - hand.held.command.arrived));
     }
 
-    pub fn add(&mut self, other: &Seen) {
+    pub fn add(&mut self, other: &ObservedBehavior) {
         self.first.extend(&other.first);
         self.any.extend(&other.any);
         self.tries = self.tries.max(other.tries);
@@ -449,30 +457,30 @@
     }
 }
 
-/// Runs one saved run again: the same beginning, the same choices. None: it ends before it breaks anything.
-pub fn again<S: Steer>(
+/// Repeats a saved run with the same start and choices. `None`: it violates nothing.
+pub fn replay_run<S: CheckedRouter>(
     subject: &Arc<Subject>,
-    worlds: &[Described],
+    worlds: &[DescribedWorld],
     expectation: &Expectation,
     setting: &Setting,
     choices: &[Choice],
-    make: Make<S>,
-) -> Result<(Vec<Step>, Option<Broken>), String> {
+    make: RouterFactory<S>,
+) -> Result<(Vec<Step>, Option<Violation>), String> {
     let subject = from_zone(subject, setting.zone);
     let lags = expectation.must.lags();
     let starts = state::starts_with(&subject, worlds, &setting.state, setting.shard, &lags);
     let start = starts.get(setting.place).ok_or("the state has no such world any more")?;
-    let coming = coming(&subject, expectation, setting.command, setting.shard);
+    let coming = incoming_commands(&subject, expectation, setting.command, setting.shard);
     let mut world =
         World::begin(subject.clone(), make(&subject.settings_by_name, setting.seed)?, start, coming);
     for choice in choices {
-        world.router.picks(Some(PrescribedDraws {
-            max_bound: PICKS_MOST,
+        world.router.prescribe_draws(Some(PrescribedDraws {
+            max_bound: MAX_PRESCRIBED_BOUND,
             values: choice.picks.clone(),
             drawn: Vec::new(),
         }));
         let stop = world.run();
-        let Stop::Sent { dispatch, server, timeout } = stop else {
+        let PauseReason::Sent { dispatch, server, timeout } = stop else {
             let broken = judge::over(&expectation.must, &world, stop);
             return Ok((world.trail.iter().cloned().collect(), broken));
         };
@@ -485,10 +493,10 @@
     Ok((world.trail.iter().cloned().collect(), None))
 }
 
-/// Servers that an expectation names for some run, by how they stand in its worlds, and whether any run reached them.
+/// Servers that an expectation names for some run, by their state in its scenarios, and whether any run reached them.
 pub fn named_by(
     subject: &Arc<Subject>,
-    worlds: &[Described],
+    worlds: &[DescribedWorld],
     expectation: &Expectation,
     scope: &crate::scope::Scope,
 ) -> FxHashSet<usize> {
@@ -500,7 +508,7 @@
             for state in &expectation.states {
                 for start in state::starts_with(&subject, worlds, state, *shard, &lags) {
                     let fits = |server: &usize| {
-                        scope.has(&subject, *server, &start.truths[*server], crate::world::BEGIN)
+                        scope.has(&subject, *server, &start.truths[*server], crate::world::START_TIME)
                     };
                     named.extend(subject.members(*shard).filter(fits));
                 }
--- a/crates/expect/src/lib.rs
+++ b/crates/expect/src/lib.rs
@@ -1,8 +1,8 @@
-//! Routing expectations: what must hold of where commands go, checked against the router itself in virtual time.
+//! Routing expectations: statements on where commands go, checked against the router itself in virtual time.
 //!
-//! A [`Subject`] is a configuration; a [`Suite`] holds the worlds and expectations of the files beside it. [`check`]
-//! looks for contradictions and then for runs that break an expectation. No socket is opened, no clock read: the
-//! caller tells when the time is over.
+//! A [`Subject`] is a configuration; a [`Suite`] has the scenarios and expectations of its files. [`check`] looks for
+//! contradictions, then for runs that violate an expectation. No sockets and no clock: the caller tells when the time
+//! is over.
 
 pub mod check;
 pub mod compare;
--- a/crates/expect/src/report/html.rs
+++ b/crates/expect/src/report/html.rs
@@ -1,4 +1,4 @@
-//! The report as one HTML page that needs nothing beside it.
+//! Report as a self-contained HTML page.
 
 use minijinja::{Environment, context};
 
--- a/crates/expect/src/report/json.rs
+++ b/crates/expect/src/report/json.rs
@@ -1,13 +1,13 @@
-//! The report as JSON.
+//! Report as JSON.
 
 use serde_json::{Value as Json, json};
 
 use crate::check::{Report, Verdict};
-use crate::explore::{Counterexample, Tally};
+use crate::explore::{Counterexample, SearchStats};
 use crate::report::{narrate, why, word};
 use crate::subject::Subject;
 
-fn tally(tally: &Tally) -> Json {
+fn tally(tally: &SearchStats) -> Json {
     json!({
         "worlds": tally.worlds, "runs": tally.runs, "forks": tally.forks, "met": tally.met,
         "calls": tally.calls, "seeds": tally.seeds, "faults": tally.faults,
@@ -15,7 +15,7 @@
     })
 }
 
-/// A run that breaks an expectation.
+/// A run that violates an expectation.
 pub fn counterexample(subject: &Subject, found: &Counterexample) -> Json {
     let setting = &found.setting;
     json!({
--- a/crates/expect/src/report/junit.rs
+++ b/crates/expect/src/report/junit.rs
@@ -1,4 +1,4 @@
-//! The report as JUnit XML, which build servers read.
+//! Report as JUnit XML for build servers.
 
 use quick_junit::{NonSuccessKind, Report as Xml, TestCase, TestCaseStatus, TestSuite};
 
--- a/crates/expect/src/report/mod.rs
+++ b/crates/expect/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! Reports of a check: text, JSON, JUnit XML and one HTML page.
+//! Reports of a check: text, JSON, JUnit XML and HTML.
 
 mod html;
 mod json;
@@ -14,7 +14,7 @@
 
 use crate::check::{Checked, Verdict};
 
-/// A verdict in one word.
+/// A verdict as one word.
 pub fn word(verdict: &Verdict) -> &'static str {
     match verdict {
         Verdict::Holds => "holds",
@@ -25,7 +25,7 @@
     }
 }
 
-/// Why an expectation fails, in one line with the key to look at; None: it holds.
+/// Why an expectation fails, in one line with the key to examine; `None` if it holds.
 pub fn why(checked: &Checked) -> Option<String> {
     match &checked.verdict {
         Verdict::Holds => None,
--- a/crates/expect/src/report/narrate.rs
+++ b/crates/expect/src/report/narrate.rs
@@ -1,12 +1,12 @@
-//! A run in words: each question and its answer, each thing that happened.
+//! A run as text: each question to the router with its answer, and each event.
 
 use tansyjunction::interface::*;
 
 use crate::judge::time;
 use crate::subject::Subject;
-use crate::world::{BEGIN, Change, Step, What};
+use crate::world::{Change, START_TIME, Step, What};
 
-/// How a dispatch ended, in words.
+/// The end of a dispatch as text.
 pub fn outcome(ending: DispatchEnd) -> &'static str {
     match ending {
         DispatchEnd::Answered => "answered",
@@ -21,14 +21,14 @@
     }
 }
 
-/// One line for each step, with the time since the world's beginning.
+/// One line per step, with the time since the start.
 pub fn narrate(subject: &Subject, trail: &[Step]) -> Vec<String> {
     let several = trail.iter().filter(|step| matches!(step.what, What::Arrives { .. })).count() > 1;
     trail.iter().map(|step| line(subject, step, several)).collect()
 }
 
 fn line(subject: &Subject, step: &Step, several: bool) -> String {
-    let at = step.at.saturating_sub(BEGIN) as f64 / 1e3;
+    let at = step.at.saturating_sub(START_TIME) as f64 / 1e3;
     let name = |server: usize| subject.servers.get(server).map_or("an unknown server", |s| s.name.as_str());
     let of = |command: usize| if several { format!("command {}: ", command + 1) } else { String::new() };
     let told = match &step.what {
--- a/crates/expect/src/report/text.rs
+++ b/crates/expect/src/report/text.rs
@@ -1,15 +1,15 @@
-//! The report as text for a terminal.
+//! Report as text for a terminal.
 
 use std::fmt::Write;
 
 use crate::check::{Report, Verdict};
-use crate::explore::{Counterexample, Tally};
+use crate::explore::{Counterexample, SearchStats};
 use crate::report::{narrate, why};
 use crate::subject::Subject;
 
-/// What was looked at, in one line.
-pub fn tally(tally: &Tally) -> String {
-    let Tally { worlds, runs, forks, met, calls, seeds, faults, cut_short } = tally;
+/// Statistics of the search in one line.
+pub fn tally(tally: &SearchStats) -> String {
+    let SearchStats { worlds, runs, forks, met, calls, seeds, faults, cut_short } = tally;
     let end = match cut_short {
         None => format!("exhaustive up to {faults} faults"),
         Some(why) => format!("not exhaustive: {why}"),
@@ -75,7 +75,7 @@
     lines.into_iter().map(|(group, states)| format!("{group}: {}", states.join(", "))).collect()
 }
 
-/// A run that breaks an expectation: its world and all that happened.
+/// A run that violates an expectation: its scenario and all events.
 fn run(subject: &Subject, found: &Counterexample) -> String {
     let mut out = String::new();
     let setting = &found.setting;
--- a/crates/expect/src/saved.rs
+++ b/crates/expect/src/saved.rs
@@ -1,11 +1,11 @@
-//! A run that breaks an expectation, saved with all that it takes to run it again: configuration, files, choices.
+//! A saved run that violates an expectation, with everything needed to repeat it: configuration, files, choices.
 
 use serde_json::{Value as Json, json};
 use tansyjunction_settings::{ExpectSettings, Ini};
 
 use crate::check::{Input, router};
-use crate::explore::{Choice, Counterexample, Setting, again};
-use crate::judge::Broken;
+use crate::explore::{Choice, Counterexample, Setting, replay_run};
+use crate::judge::Violation;
 use crate::report::counterexample_json;
 use crate::state;
 use crate::subject::Subject;
@@ -14,7 +14,7 @@
 
 const VERSION: u64 = 1;
 
-/// The run of one failed expectation, as a file.
+/// The run of a failed expectation as a file.
 pub fn save(input: &Input, expectation: usize, found: &Counterexample) -> Json {
     let setting = &found.setting;
     let files = input.files.iter().map(|file| {
@@ -38,17 +38,17 @@
     })
 }
 
-/// A saved run, run again.
+/// A repeated run.
 #[derive(Debug)]
-pub struct Again {
+pub struct Replayed {
     pub subject: Subject,
     pub expectation: String,
     pub trail: Vec<Step>,
-    /// None: it does not break the expectation any more.
-    pub broken: Option<Broken>,
+    /// `None` if it no longer violates the expectation.
+    pub broken: Option<Violation>,
 }
 
-pub fn replay(saved: &Json) -> Result<Again, String> {
+pub fn replay(saved: &Json) -> Result<Replayed, String> {
     let missing = |key: &str| format!("'{key}' is missing or of another form");
     if saved["tansyjunction_run"].as_u64() != Some(VERSION) {
         return Err("it is no saved run of this version".into());
@@ -94,7 +94,7 @@
         Ok(Choice { picks: picks.collect::<Result<_, String>>()?, happens })
     });
     let choices = choices.collect::<Result<Vec<_>, String>>()?;
-    let ran = again(subject, &input.suite.worlds, expectation, &setting, &choices, &router)?;
+    let ran = replay_run(subject, &input.suite.worlds, expectation, &setting, &choices, &router)?;
     let (trail, broken) = ran;
-    Ok(Again { subject: Subject::clone(subject), expectation: name, trail, broken })
+    Ok(Replayed { subject: Subject::clone(subject), expectation: name, trail, broken })
 }
--- a/crates/expect/src/scope.rs
+++ b/crates/expect/src/scope.rs
@@ -1,11 +1,11 @@
-//! Sets of servers in words, such as `replica within 3s, primary`: phrases between commas, any of which may fit; all
-//! words of a phrase must.
+//! Sets of servers as text, such as `replica within 3s, primary`: alternatives separated by commas, each with words
+//! that must all apply.
 
 use tansyjunction::interface::{Micros, ServerState};
 use tansyjunction_settings::{duration, list, unknown};
 
 use crate::subject::Subject;
-use crate::truth::{CONDITIONS, Condition, Truth};
+use crate::truth::{ActualState, CONDITIONS, Condition};
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Term {
@@ -16,14 +16,14 @@
     OwnZone,
     Zone(usize),
     Server(usize),
-    /// Not further behind than this, in microseconds; further than this.
+    /// Lag of at most this many microseconds; more than this.
     Within(Micros),
     Behind(Micros),
     Draining,
     Gone,
     Cold,
     Condition(Condition),
-    /// Listed as the primary, whether it is or not.
+    /// Listed as the primary, whether or not it is.
     Listed,
 }
 
@@ -33,7 +33,7 @@
     pub phrases: Vec<Vec<Term>>,
 }
 
-/// Words that a scope may hold, for messages.
+/// Words of a scope, for error messages.
 const WORDS: [&str; 15] = [
     "any", "primary", "replica", "own", "zone", "server", "within", "behind", "draining", "gone", "cold",
     "listed", "hung", "refusing", "well",
@@ -46,13 +46,13 @@
         Ok(Scope { text: text.into(), phrases: phrases.collect::<Result<_, String>>()? })
     }
 
-    /// Whether a server that stands so is among them.
-    pub fn has(&self, subject: &Subject, server: usize, truth: &Truth, now: Micros) -> bool {
+    /// Whether the set contains a server in this state.
+    pub fn has(&self, subject: &Subject, server: usize, truth: &ActualState, now: Micros) -> bool {
         let fits = |term: &Term| term.fits(subject, server, truth, now);
         self.phrases.iter().any(|phrase| phrase.iter().all(fits))
     }
 
-    /// The most lag that a phrase allows for replicas, where it names any.
+    /// The largest lag that any alternative allows for replicas, if any.
     pub fn lag_allowed(&self) -> Option<Micros> {
         let replicas = |phrase: &&Vec<Term>| !phrase.contains(&Term::Primary);
         let lags = self.phrases.iter().filter(replicas).flatten().filter_map(|term| match term {
@@ -64,7 +64,7 @@
 }
 
 impl Term {
-    /// The lag that it names, in microseconds.
+    /// The lag that it names in microseconds.
     pub fn lag(&self) -> Option<Micros> {
         match self {
             Term::Within(lag) | Term::Behind(lag) => Some(*lag),
@@ -72,7 +72,7 @@
         }
     }
 
-    fn fits(&self, subject: &Subject, server: usize, truth: &Truth, now: Micros) -> bool {
+    fn fits(&self, subject: &Subject, server: usize, truth: &ActualState, now: Micros) -> bool {
         let facts = &subject.servers[server];
         match self {
             Term::Any => true,
--- a/crates/expect/src/state.rs
+++ b/crates/expect/src/state.rs
@@ -1,20 +1,20 @@
-//! States of the world that an expectation may name, and the worlds that each of them means for a shard.
+//! States that an expectation may name, and the scenarios that each means for a shard.
 
 use tansyjunction::interface::*;
 use tansyjunction_settings::{Section, SettingsError, duration, list, one_of, unknown};
 
 use crate::scope;
 use crate::subject::{Need, Subject};
-use crate::truth::{CALM_LAG, CONDITIONS, Claim, Condition, Truth};
-use crate::world::{BEGIN, Change, Start};
+use crate::truth::{ActualState, CALM_LAG, CONDITIONS, Claim, Condition};
+use crate::world::{Change, START_TIME, Start};
 
-/// A replica that is behind stands this much further behind than any bound of the settings.
-const BEHIND: Micros = 2_000_000;
-/// A cold server started so long ago.
-const COLD_FOR: Micros = 500_000;
-/// How much later than the change the list tells a new primary: of the order that deployments see.
-const LIST_LATE: Micros = 4_000_000;
-/// When a primary changes in the state of that name, after the command's arrival.
+/// Additional lag of a replica that is behind, beyond any bound of the settings.
+const EXTRA_LAG: Micros = 2_000_000;
+/// Age of a cold server.
+const COLD_AGE: Micros = 500_000;
+/// Delay of the server list after a change of primary, of the order seen in deployments.
+const LIST_DELAY: Micros = 4_000_000;
+/// When the primary changes in the state of that name, after the command's arrival.
 const CHANGES_AFTER: Micros = 5_000;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -34,7 +34,7 @@
     TwoPrimaries,
     LateList,
     Changing,
-    /// A world that a file describes, by its place among them.
+    /// A scenario from a file, by index.
     Named(usize),
 }
 
@@ -56,21 +56,21 @@
     ("changing", State::Changing),
 ];
 
-/// A world as a file describes it.
+/// A scenario as described in a file.
 #[derive(Clone, Debug)]
-pub struct Described {
+pub struct DescribedWorld {
     pub section: Section,
     pub start: Start,
-    /// How far each server is allowed to fall behind, where the file says so, in microseconds.
+    /// Allowed lag of each server in microseconds, where given.
     pub lag_allowed: Vec<(usize, Micros)>,
 }
 
-/// How all servers stand on a calm day, as the configuration has them.
-pub fn calm(subject: &Subject) -> Vec<Truth> {
-    let mut truths: Vec<Truth> = subject
+/// Calm state of all servers as configured.
+pub fn calm(subject: &Subject) -> Vec<ActualState> {
+    let mut truths: Vec<ActualState> = subject
         .servers
         .iter()
-        .map(|facts| Truth {
+        .map(|facts| ActualState {
             standing: facts.standing,
             told_at: 0,
             primary: false,
@@ -86,7 +86,7 @@
         })
         .collect();
     for shard in 0..subject.shards.len() {
-        // A shard has a primary even where the list does not tell which.
+        // A shard has a primary even if the list does not name it.
         let listed = subject.members(shard).find(|server| subject.servers[*server].listed_primary);
         if let Some(server) = listed.or_else(|| subject.members(shard).next()) {
             (truths[server].primary, truths[server].lag) = (true, 0);
@@ -95,16 +95,16 @@
     truths
 }
 
-/// The name of a state, as expectations write it.
-pub fn name<'a>(state: &State, described: &'a [Described]) -> &'a str {
+/// Name of a state as in expectations.
+pub fn name<'a>(state: &State, described: &'a [DescribedWorld]) -> &'a str {
     match state {
         State::Named(place) => described[*place].section.kind().1,
         state => name_of(state),
     }
 }
 
-/// Reads the name of a state.
-pub fn read(text: &str, described: &[Described]) -> Result<State, String> {
+/// Parses the name of a state.
+pub fn read(text: &str, described: &[DescribedWorld]) -> Result<State, String> {
     if let Some((_, state)) = STATES.iter().find(|(name, _)| *name == text) {
         return Ok(state.clone());
     }
@@ -114,15 +114,15 @@
     place.map(State::Named).ok_or_else(|| format!("'{text}': {}", unknown("state or world", text, names)))
 }
 
-/// Beside a figure that an expectation names, a replica stands so much further behind.
-const BEYOND: Micros = 1_000;
+/// Difference to a lag named by an expectation, at which a replica is placed on either side of it.
+const LAG_MARGIN: Micros = 1_000;
 
-/// The worlds that a state means for a shard where an expectation names these lags: those of the state, and in a state
-/// whose subject is freshness, or that has no trouble, a replica on each side of each figure. Guards against an
-/// expectation that holds whatever the configuration permits, since no world comes near its own figure.
+/// Scenarios of a state for a shard and the lags named by an expectation: those of the state, and, in calm states and
+/// states about freshness, a replica on each side of each lag. Otherwise an expectation might hold whatever the
+/// configuration permits, since no scenario comes near its lag.
 pub fn starts_with(
     subject: &Subject,
-    described: &[Described],
+    described: &[DescribedWorld],
     state: &State,
     shard: usize,
     lags: &[Micros],
@@ -136,7 +136,7 @@
         .members(shard)
         .filter(|s| !base[*s].primary && base[*s].standing == ServerState::Serving)
         .collect();
-    for lag in lags.iter().flat_map(|lag| [*lag, *lag + BEYOND]) {
+    for lag in lags.iter().flat_map(|lag| [*lag, *lag + LAG_MARGIN]) {
         for replica in &replicas {
             let mut truths = base.clone();
             truths[*replica].lag = lag;
@@ -152,8 +152,8 @@
     STATES.iter().find(|(_, known)| known == state).map_or("", |(name, _)| name)
 }
 
-/// The worlds that a state means for a shard: one for each server that may be the one in trouble.
-pub fn starts(subject: &Subject, described: &[Described], state: &State, shard: usize) -> Vec<Start> {
+/// Scenarios of a state for a shard: one for each server that may be affected.
+pub fn starts(subject: &Subject, described: &[DescribedWorld], state: &State, shard: usize) -> Vec<Start> {
     if let State::Named(place) = state {
         return vec![described[*place].start.clone()];
     }
@@ -162,9 +162,10 @@
     let there = |server: &usize| base[*server].standing == ServerState::Serving;
     let primary = members.iter().copied().find(|server| base[*server].primary);
     let replicas: Vec<usize> = members.iter().copied().filter(|s| Some(*s) != primary && there(s)).collect();
-    let start = |name: String, truths: Vec<Truth>| Start { name, truths, warm: true, changes: Vec::new() };
+    let start =
+        |name: String, truths: Vec<ActualState>| Start { name, truths, warm: true, changes: Vec::new() };
     let server = |place: usize| subject.servers[place].name.as_str();
-    let one = |name: &str, among: &[usize], alter: &dyn Fn(&mut Truth)| -> Vec<Start> {
+    let one = |name: &str, among: &[usize], alter: &dyn Fn(&mut ActualState)| -> Vec<Start> {
         let each = among.iter().filter(|s| there(s)).map(|victim| {
             let mut truths = base.clone();
             alter(&mut truths[*victim]);
@@ -172,7 +173,7 @@
         });
         each.collect()
     };
-    // Once as the gateway has not noticed yet, and once as its probes have.
+    // Once before the gateway has noticed, and once after its probes have.
     let trouble = |name: &str, condition: Condition| -> Vec<Start> {
         let mut found = one(name, &members, &|truth| truth.condition = condition);
         found.extend(one(&format!("{name}, noticed:"), &members, &|truth| {
@@ -193,7 +194,7 @@
                 Need::Bounded(bound) => Some(bound),
                 _ => None,
             });
-            let lag = bounds.max().unwrap_or(0) + BEHIND;
+            let lag = bounds.max().unwrap_or(0) + EXTRA_LAG;
             let mut found = one("behind", &replicas, &|truth| truth.lag = lag);
             if replicas.len() > 1 {
                 let mut truths = base.clone();
@@ -204,7 +205,7 @@
         }
         State::Draining => one("draining", &members, &|truth| truth.standing = ServerState::Draining),
         State::Gone => one("gone", &members, &|truth| truth.standing = ServerState::Gone),
-        State::Cold => one("cold", &members, &|truth| truth.started = Some(BEGIN - COLD_FOR)),
+        State::Cold => one("cold", &members, &|truth| truth.started = Some(START_TIME - COLD_AGE)),
         State::NoPrimary => {
             let mut truths = base.clone();
             for server in &members {
@@ -219,7 +220,7 @@
             .iter()
             .map(|new| {
                 let truths = replaced(&base, primary, *new);
-                let changes = told(primary, *new, &truths, LIST_LATE);
+                let changes = told(primary, *new, &truths, LIST_DELAY);
                 Start { changes, ..start(format!("late-list, {} leads", server(*new)), truths) }
             })
             .collect(),
@@ -227,7 +228,7 @@
             .iter()
             .map(|new| {
                 let mut changes = vec![(CHANGES_AFTER, Change::Primary(*new))];
-                changes.extend(told(primary, *new, &base, CHANGES_AFTER + LIST_LATE));
+                changes.extend(told(primary, *new, &base, CHANGES_AFTER + LIST_DELAY));
                 Start { changes, ..start(format!("changing to {}", server(*new)), base.clone()) }
             })
             .collect(),
@@ -235,12 +236,12 @@
     }
 }
 
-/// Each zone in turn can't be reached, but the client's own.
+/// Each zone in turn is unreachable, except the client's.
 fn cut(
     subject: &Subject,
-    base: &[Truth],
+    base: &[ActualState],
     members: &[usize],
-    start: &dyn Fn(String, Vec<Truth>) -> Start,
+    start: &dyn Fn(String, Vec<ActualState>) -> Start,
 ) -> Vec<Start> {
     let mut found = Vec::new();
     for zone in (0..subject.zones.len()).filter(|zone| *zone != subject.own_zone) {
@@ -261,19 +262,19 @@
     found
 }
 
-/// The old primary has been replaced; it and the list say nothing of it yet.
-fn replaced(base: &[Truth], old: Option<usize>, new: usize) -> Vec<Truth> {
+/// The old primary was replaced; neither it nor the list shows it yet.
+fn replaced(base: &[ActualState], old: Option<usize>, new: usize) -> Vec<ActualState> {
     let mut truths = base.to_vec();
     if let Some(old) = old {
         let truth = &mut truths[old];
         (truth.primary, truth.was_primary, truth.claim) = (false, true, Claim::Nothing);
     }
-    // Nor has the new one been heard to lead.
+    // Nor has the new one reported its role.
     (truths[new].primary, truths[new].lag, truths[new].claim) = (true, 0, Claim::Nothing);
     truths
 }
 
-fn told(old: Option<usize>, new: usize, truths: &[Truth], after: Micros) -> Vec<(Micros, Change)> {
+fn told(old: Option<usize>, new: usize, truths: &[ActualState], after: Micros) -> Vec<(Micros, Change)> {
     let tell = |server: usize, primary: bool| {
         let (standing, started) = (truths[server].standing, truths[server].started);
         (after, Change::Told { server, standing, primary, started })
@@ -281,9 +282,9 @@
     old.map(|old| tell(old, false)).into_iter().chain([tell(new, true)]).collect()
 }
 
-/// Reads a section `[world NAME]`. Keys: `server.NAME` (words between commas), `gateway = new`, and for what changes
-/// by itself `after TIME = ...`.
-pub fn describe(section: &Section, subject: &Subject) -> Result<Described, SettingsError> {
+/// Parses a section `[world NAME]`. Keys: `server.NAME` (words separated by commas), `gateway = new`, and for changes
+/// `after TIME = ...`.
+pub fn describe(section: &Section, subject: &Subject) -> Result<DescribedWorld, SettingsError> {
     let (_, name) = section.kind();
     if name.is_empty() {
         return Err(section.error("a world wants a name: [world NAME]"));
@@ -315,11 +316,11 @@
         }
     }
     contradicts(section, subject, &start.truths)?;
-    Ok(Described { section: section.clone(), start, lag_allowed })
+    Ok(DescribedWorld { section: section.clone(), start, lag_allowed })
 }
 
-/// Reads how a server stands; what it is allowed to lag is returned.
-fn stand(text: &str, truth: &mut Truth) -> Result<Option<Micros>, String> {
+/// Parses the state of a server; returns its allowed lag.
+fn stand(text: &str, truth: &mut ActualState) -> Result<Option<Micros>, String> {
     let mut allowed = None;
     let mut seen: Vec<&str> = Vec::new();
     let parts = list(text)?;
@@ -354,8 +355,8 @@
             ("claims", "nothing") => truth.claim = Claim::Nothing,
             ("behind", time) => truth.lag = duration(time)?,
             ("allowed", lag) => allowed = Some(duration(lag.strip_prefix("behind ").unwrap_or(lag))?),
-            ("cold", "") => truth.started = Some(BEGIN - COLD_FOR),
-            ("cold", ago) => truth.started = Some(BEGIN.saturating_sub(duration(ago)?)),
+            ("cold", "") => truth.started = Some(START_TIME - COLD_AGE),
+            ("cold", ago) => truth.started = Some(START_TIME.saturating_sub(duration(ago)?)),
             ("noticed", "") => truth.noticed = true,
             (word, "") => truth.condition = one_of("condition", word, &CONDITIONS)?,
             _ => return Err(format!("'{part}' is not understood")),
@@ -367,8 +368,8 @@
     Ok(allowed)
 }
 
-/// Reads what changes: `SERVER leads`, `SERVER hung` and other conditions, `list SERVER draining`, `list SERVER leads`.
-fn changes(text: &str, subject: &Subject, truths: &[Truth]) -> Result<Vec<Change>, String> {
+/// Parses changes: `SERVER leads`, `SERVER hung` and other conditions, `list SERVER draining`, `list SERVER leads`.
+fn changes(text: &str, subject: &Subject, truths: &[ActualState]) -> Result<Vec<Change>, String> {
     let read = |part: &String| {
         let words: Vec<&str> = part.split_whitespace().collect();
         match words[..] {
@@ -383,7 +384,7 @@
                     "serving" => standing = ServerState::Serving,
                     "draining" => standing = ServerState::Draining,
                     "gone" => standing = ServerState::Gone,
-                    "restarted" => started = Some(BEGIN),
+                    "restarted" => started = Some(START_TIME),
                     _ => return Err(format!("'{part}' is not understood")),
                 }
                 Ok(Change::Told { server, standing, primary, started })
@@ -399,8 +400,8 @@
     list(text)?.iter().map(read).collect()
 }
 
-/// A world that can't be: two true primaries in a shard.
-fn contradicts(section: &Section, subject: &Subject, truths: &[Truth]) -> Result<(), SettingsError> {
+/// An impossible scenario: two actual primaries in a shard.
+fn contradicts(section: &Section, subject: &Subject, truths: &[ActualState]) -> Result<(), SettingsError> {
     for shard in 0..subject.shards.len() {
         let primaries: Vec<usize> = subject.members(shard).filter(|server| truths[*server].primary).collect();
         if let [first, second, ..] = primaries[..] {
--- a/crates/expect/src/steer.rs
+++ b/crates/expect/src/steer.rs
@@ -1,4 +1,4 @@
-//! What is checked: the router itself, or one that a test has made to lie.
+//! Interface of the checked router: the real one, or a faulty one in tests.
 
 use std::hash::Hasher;
 
@@ -6,24 +6,38 @@
 use tansyjunction::Router;
 use tansyjunction::interface::*;
 
-/// The calls of a [`Router`], so that a test may put a faulty one in its place.
-pub trait Steer: Clone {
-    fn listed(&mut self, now: Micros, entries: &[ServerListEntry], whole: bool);
-    fn probed(&mut self, now: Micros, server: usize, took: Micros, end: DispatchEnd, report: Option<Report>);
+/// The calls of a [`Router`], which a test may implement with faults.
+pub trait CheckedRouter: Clone {
+    fn update_server_list(&mut self, now: Micros, entries: &[ServerListEntry], whole: bool);
+    fn on_probe_result(
+        &mut self,
+        now: Micros,
+        server: usize,
+        took: Micros,
+        end: DispatchEnd,
+        report: Option<Report>,
+    );
     fn place(&mut self, now: Micros, held: &PendingCommand) -> Placement;
-    fn after(&mut self, now: Micros, held: &PendingCommand, outcome: &Outcome) -> NextStep;
-    fn wait(&mut self, now: Micros, held: Option<&PendingCommand>) -> NextCheck;
-    fn picks(&mut self, picks: Option<PrescribedDraws>) -> Option<PrescribedDraws>;
-    /// Marks of its state; the same marks, the same answers.
-    fn digest(&self) -> u64;
+    fn on_outcome(&mut self, now: Micros, held: &PendingCommand, outcome: &Outcome) -> NextStep;
+    fn next_check(&mut self, now: Micros, held: Option<&PendingCommand>) -> NextCheck;
+    fn prescribe_draws(&mut self, picks: Option<PrescribedDraws>) -> Option<PrescribedDraws>;
+    /// Hash of its state; equal hashes mean equal answers.
+    fn state_hash(&self) -> u64;
 }
 
-impl Steer for Router {
-    fn listed(&mut self, now: Micros, entries: &[ServerListEntry], whole: bool) {
+impl CheckedRouter for Router {
+    fn update_server_list(&mut self, now: Micros, entries: &[ServerListEntry], whole: bool) {
         Router::update_server_list(self, now, Some(entries), whole);
     }
 
-    fn probed(&mut self, now: Micros, server: usize, took: Micros, end: DispatchEnd, report: Option<Report>) {
+    fn on_probe_result(
+        &mut self,
+        now: Micros,
+        server: usize,
+        took: Micros,
+        end: DispatchEnd,
+        report: Option<Report>,
+    ) {
         Router::on_probe_result(self, now, server, took, end, report);
     }
 
@@ -31,19 +45,19 @@
         Router::place(self, now, held)
     }
 
-    fn after(&mut self, now: Micros, held: &PendingCommand, outcome: &Outcome) -> NextStep {
+    fn on_outcome(&mut self, now: Micros, held: &PendingCommand, outcome: &Outcome) -> NextStep {
         Router::on_outcome(self, now, held, outcome)
     }
 
-    fn wait(&mut self, now: Micros, held: Option<&PendingCommand>) -> NextCheck {
+    fn next_check(&mut self, now: Micros, held: Option<&PendingCommand>) -> NextCheck {
         Router::next_check(self, now, held)
     }
 
-    fn picks(&mut self, picks: Option<PrescribedDraws>) -> Option<PrescribedDraws> {
+    fn prescribe_draws(&mut self, picks: Option<PrescribedDraws>) -> Option<PrescribedDraws> {
         Router::prescribe_draws(self, picks)
     }
 
-    fn digest(&self) -> u64 {
+    fn state_hash(&self) -> u64 {
         let mut hasher = FxHasher::default();
         Router::hash_state(self, &mut hasher);
         hasher.finish()
--- a/crates/expect/src/subject.rs
+++ b/crates/expect/src/subject.rs
@@ -1,4 +1,4 @@
-//! What is checked against: a configuration as the platform hands it over, read for its names and figures.
+//! The configuration that is checked, in the platform's format.
 
 use std::path::Path;
 
@@ -6,13 +6,13 @@
 use tansyjunction::interface::*;
 use tansyjunction_hosting::{ServerList, convert_settings};
 
-/// What a command group needs of the data that it reads, in the rules' terms.
+/// Freshness that a command group needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Need {
     Write,
     Fresh,
     Session,
-    /// Data not older than this, in microseconds.
+    /// Data of at most this age in microseconds.
     Bounded(Micros),
     Any,
 }
@@ -32,12 +32,12 @@
     Group,
 }
 
-/// What a server does with a read that it is too far behind for.
+/// How a server treats a read that it is too far behind for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Guards {
     None,
     Refuse,
-    /// It waits so long first.
+    /// It waits up to this long first.
     Wait(Micros),
 }
 
@@ -67,14 +67,14 @@
     pub listed_primary: bool,
 }
 
-/// Figures of the deployment; times in microseconds.
+/// Settings of the deployment; times in microseconds.
 #[derive(Clone, Debug)]
 pub struct Figures {
     pub guards: Guards,
-    /// Whether answers state role and position; whether they bring a load report.
+    /// Whether answers contain role and position; whether they contain a load report.
     pub stamped: bool,
     pub reports: bool,
-    /// Whether clients bring along when their session last wrote.
+    /// Whether clients send the time of their session's last write.
     pub carried: bool,
     pub routers: f64,
     pub max_dispatches: usize,
@@ -92,7 +92,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Subject {
-    /// Where it was read.
+    /// Path of the file.
     pub file: String,
     pub json: Json,
     pub settings_by_name: SettingsByName,
@@ -112,7 +112,7 @@
         Subject::read(&file, json)
     }
 
-    /// Reads a configuration; messages name the file and the key.
+    /// Parses a configuration; errors name the file and the key.
     pub fn read(file: &str, json: Json) -> Result<Subject, String> {
         Subject::take(file, json).map_err(|message| format!("{file}: {message}"))
     }
@@ -120,7 +120,7 @@
     fn take(file: &str, json: Json) -> Result<Subject, String> {
         let settings = json.get("settings").ok_or("'settings' is missing")?;
         let settings_by_name = convert_settings(settings);
-        // The router checks what it picks of the settings.
+        // The router validates the settings that it uses.
         tansyjunction::Router::new(settings_by_name.clone(), 0)
             .map_err(|message| format!("'settings': {message}"))?;
         let names = |list: &Json| -> Vec<String> {
@@ -161,7 +161,7 @@
         Ok(subject)
     }
 
-    /// Adds a server that the list lacks.
+    /// Adds a server that is not in the list.
     pub fn add(
         &mut self,
         name: &str,
--- a/crates/expect/src/suggest.rs
+++ b/crates/expect/src/suggest.rs
@@ -1,4 +1,4 @@
-//! Expectations written from what the router does now: a beginning for those who have none, and a net under a change.
+//! Expectations generated from the router's current behaviour: a starting point, and a safety net for changes.
 
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -6,28 +6,28 @@
 
 use tansyjunction::interface::Micros;
 
-use crate::expectation::{Expectation, Must};
-use crate::explore::{self, Bounds, Make, Seen};
+use crate::expectation::{Expectation, Requirements};
+use crate::explore::{self, Bounds, ObservedBehavior, RouterFactory};
 use crate::scope::Scope;
 use crate::state::{self, STATES, State};
-use crate::steer::Steer;
+use crate::steer::CheckedRouter;
 use crate::subject::{Effect, Need, Subject};
 
-/// States whose runs are told apart in suggestions: the others differ by who is in trouble alone.
-const TOLD: [State; 6] =
+/// States covered by suggestions; the others differ only in which server is affected.
+const SUGGESTED_STATES: [State; 6] =
     [State::Calm, State::New, State::Behind, State::Draining, State::LateList, State::Changing];
-/// Times are rounded up to this, so that a suggestion is not broken by a trifle.
-const ROUND: Micros = 100_000;
+/// Times are rounded up to this, so that small changes do not violate a suggestion.
+const ROUNDING: Micros = 100_000;
 
-/// What commands of a group do on a shard in a state, without faults beyond the state's own.
-pub fn observe<S: Steer>(
+/// Behaviour of commands of a group on a shard in a state, without additional faults.
+pub fn observe<S: CheckedRouter>(
     subject: &Arc<Subject>,
     command: usize,
     shard: usize,
     state: &State,
     bounds: &Bounds,
-    make: Make<S>,
-) -> Result<Seen, String> {
+    make: RouterFactory<S>,
+) -> Result<ObservedBehavior, String> {
     let section = tansyjunction_settings::Section {
         file: "observed".into(),
         name: "expectation observed".into(),
@@ -49,17 +49,21 @@
         seeds: 2,
         at_once: 1,
         over: 0,
-        must: Must::default(),
+        must: Requirements::default(),
     };
     Ok(explore::expectation(subject, &[], &expectation, bounds, make)?.seen)
 }
 
-/// Suggestions for every command group, as a file. What all shards have in common is said once.
-pub fn suggest<S: Steer>(subject: &Arc<Subject>, bounds: &Bounds, make: Make<S>) -> Result<String, String> {
+/// Suggestions for all command groups as a file. What all shards have in common is written once.
+pub fn suggest<S: CheckedRouter>(
+    subject: &Arc<Subject>,
+    bounds: &Bounds,
+    make: RouterFactory<S>,
+) -> Result<String, String> {
     let mut out =
         String::from("; Written by `tansyjunction expect suggest` from what the router does now.\n");
     for (command, group) in subject.command_groups.iter().enumerate() {
-        for state in &TOLD {
+        for state in &SUGGESTED_STATES {
             let mut by_text: Vec<(String, Vec<usize>)> = Vec::new();
             for shard in 0..subject.shards.len() {
                 if state::starts(subject, &[], state, shard).is_empty() {
@@ -88,18 +92,24 @@
     Ok(out)
 }
 
-fn suggestion(subject: &Subject, command: usize, shard: usize, state: &State, seen: &Seen) -> String {
+fn suggestion(
+    subject: &Subject,
+    command: usize,
+    shard: usize,
+    state: &State,
+    seen: &ObservedBehavior,
+) -> String {
     let mut out = String::new();
     let group = &subject.command_groups[command];
     let starts = state::starts(subject, &[], state, shard);
-    // The narrowest words that fit all that was seen, in every world of the state.
+    // The narrowest words that cover everything observed in all scenarios of the state.
     let words = ["primary", "replica own zone", "replica", "own zone"];
     let within = |text: &str| {
         let Ok(scope) = Scope::read(text, subject) else { return false };
         let fits = |server: &usize| {
             starts
                 .iter()
-                .all(|start| scope.has(subject, *server, &start.truths[*server], crate::world::BEGIN))
+                .all(|start| scope.has(subject, *server, &start.truths[*server], crate::world::START_TIME))
         };
         !seen.any.is_empty() && seen.any.iter().all(fits)
     };
@@ -123,14 +133,14 @@
                 let _ = writeln!(out, "{key} = never");
             }
             Some(latest) => {
-                let _ = writeln!(out, "{key} = within {}ms", latest.div_ceil(ROUND) * ROUND / 1_000);
+                let _ = writeln!(out, "{key} = within {}ms", latest.div_ceil(ROUNDING) * ROUNDING / 1_000);
             }
         }
     }
     out
 }
 
-/// The names of servers, in order.
+/// Names of servers, sorted.
 pub fn names(subject: &Subject, servers: &BTreeSet<usize>) -> BTreeSet<String> {
     servers.iter().map(|server| subject.servers[*server].name.clone()).collect()
 }
--- a/crates/expect/src/truth.rs
+++ b/crates/expect/src/truth.rs
@@ -1,23 +1,23 @@
-//! How servers truly stand in a world, as opposed to what a router has been told of them.
+//! Actual state of the servers in a scenario, as opposed to what a router knows.
 
 use tansyjunction::interface::*;
 
-/// A replica that is up to date stands about so far behind.
+/// Usual lag of an up-to-date replica in microseconds.
 pub const CALM_LAG: Micros = 50_000;
 
-/// What a server does with what reaches it.
+/// How a server reacts to commands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Condition {
     Well,
-    /// It takes connections and answers nothing.
+    /// It accepts connections and never answers.
     Hung,
     /// Its process is gone: connections are refused at once.
     Refusing,
-    /// Nothing reaches it: connections never come up.
+    /// It is unreachable: connections never come up.
     Cut,
     /// It answers every command with an error.
     Erring,
-    /// It sends every command back.
+    /// It rejects every command.
     Full,
 }
 
@@ -30,7 +30,7 @@
     ("full", Condition::Full),
 ];
 
-/// What a server says of its role.
+/// What a server reports about its role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Claim {
     Truth,
@@ -39,28 +39,28 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Truth {
-    /// As the list tells it, and since when (on the world's clock, in microseconds).
+pub struct ActualState {
+    /// State in the list, and since when (on the simulation's clock, in microseconds).
     pub standing: ServerState,
     pub told_at: Micros,
     pub primary: bool,
     pub listed_primary: bool,
     pub claim: Claim,
-    /// It was primary until it was replaced, and whether it has told the gateway so since.
+    /// Whether it was primary until it was replaced, and has reported this since.
     pub was_primary: bool,
     pub told_replica: bool,
-    /// How far it is behind, in microseconds; 0 for a primary.
+    /// Lag in microseconds; 0 for a primary.
     pub lag: Micros,
     pub condition: Condition,
-    /// Whether the gateway's probes have found the condition before the command comes.
+    /// Whether the gateway's probes found the condition before the command arrives.
     pub noticed: bool,
     pub started: Option<Micros>,
-    /// A dispatch to it failed in this run.
+    /// Whether a dispatch to it failed in this run.
     pub failed: bool,
 }
 
-impl Truth {
-    /// Up to when it has applied all commits.
+impl ActualState {
+    /// Position up to which it has applied the log.
     pub fn position(&self, now: Micros) -> Micros {
         if self.primary { now } else { now.saturating_sub(self.lag) }
     }
@@ -70,11 +70,11 @@
     }
 }
 
-/// What may become of a dispatch, beside what the world has in store for it.
+/// Possible outcomes of a dispatch, beside that determined by the scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Happens {
+pub enum DispatchFate {
     Answer,
-    /// An answer that comes when most of the patience is over.
+    /// An answer when most of the soft timeout is over.
     Slow,
     Miss,
     Error,
@@ -82,36 +82,36 @@
     Silence,
     Unconnected,
     Reset,
-    /// The primary changes as the command is on its way.
+    /// The primary changes while the command is in transit.
     Change,
 }
 
-/// Those that expectations may ask for, by the words that they use.
-pub const FAULTS: [(&str, Happens); 8] = [
-    ("slow", Happens::Slow),
-    ("miss", Happens::Miss),
-    ("error", Happens::Error),
-    ("full", Happens::Full),
-    ("silence", Happens::Silence),
-    ("unconnected", Happens::Unconnected),
-    ("reset", Happens::Reset),
-    ("change", Happens::Change),
+/// Faults that expectations may request, by name.
+pub const FAULTS: [(&str, DispatchFate); 8] = [
+    ("slow", DispatchFate::Slow),
+    ("miss", DispatchFate::Miss),
+    ("error", DispatchFate::Error),
+    ("full", DispatchFate::Full),
+    ("silence", DispatchFate::Silence),
+    ("unconnected", DispatchFate::Unconnected),
+    ("reset", DispatchFate::Reset),
+    ("change", DispatchFate::Change),
 ];
 
-impl Happens {
+impl DispatchFate {
     pub fn word(self) -> &'static str {
         FAULTS.iter().find(|(_, fault)| *fault == self).map_or("answer", |(word, _)| word)
     }
 
     pub fn ending(self) -> DispatchEnd {
         match self {
-            Happens::Answer | Happens::Slow | Happens::Change => DispatchEnd::Answered,
-            Happens::Miss => DispatchEnd::Missed,
-            Happens::Error => DispatchEnd::Errored,
-            Happens::Full => DispatchEnd::SentBack,
-            Happens::Silence => DispatchEnd::TimedOut,
-            Happens::Unconnected => DispatchEnd::Unconnected,
-            Happens::Reset => DispatchEnd::Reset,
+            DispatchFate::Answer | DispatchFate::Slow | DispatchFate::Change => DispatchEnd::Answered,
+            DispatchFate::Miss => DispatchEnd::Missed,
+            DispatchFate::Error => DispatchEnd::Errored,
+            DispatchFate::Full => DispatchEnd::SentBack,
+            DispatchFate::Silence => DispatchEnd::TimedOut,
+            DispatchFate::Unconnected => DispatchEnd::Unconnected,
+            DispatchFate::Reset => DispatchEnd::Reset,
         }
     }
 }
--- a/crates/expect/src/world.rs
+++ b/crates/expect/src/world.rs
@@ -1,5 +1,5 @@
-//! One world in virtual time: servers as they truly stand, a router that learns of them through its calls alone, and
-//! the commands in its hands. Worlds are forked at every dispatch; what is large in them is shared between forks.
+//! Simulation in virtual time: the actual state of the servers, a router that learns of it only through its calls,
+//! and the commands of its host. It is forked at every dispatch; forks share large parts.
 
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
@@ -8,28 +8,28 @@
 use rustc_hash::FxHasher;
 use tansyjunction::interface::*;
 
-use crate::steer::Steer;
+use crate::steer::CheckedRouter;
 use crate::subject::{Guards, Need, Subject};
-use crate::truth::{CALM_LAG, Claim, Condition, Happens, Truth};
-
-/// When worlds begin: late enough that nothing lies before the clock's start.
-pub const BEGIN: Micros = 1_000_000_000_000;
-/// How long before the first command the router was started and has probed.
-pub const WARMED: Micros = 10_000;
-/// Round trips within a zone and between zones, as figures of any plausible size.
-const NEAR: Micros = 500;
-const FAR: Micros = 1_000;
-/// The work of a command, as a part of its response target.
-const WORK: Micros = 10;
-/// A slow answer comes after this part of the response target: beyond any patience for it.
-const SLOW: f64 = 0.7;
-/// A host that was asked so often without an end is kept busy for ever.
-const CALLS_MOST: u64 = 20_000;
-
-/// Something of the world that changes by itself.
+use crate::truth::{ActualState, CALM_LAG, Claim, Condition, DispatchFate};
+
+/// Start time: large enough that no time lies before zero.
+pub const START_TIME: Micros = 1_000_000_000_000;
+/// How long before the first command a warm router was started and has probed.
+pub const WARM_UP_TIME: Micros = 10_000;
+/// Round trips within a zone and between zones.
+const SAME_ZONE_ROUND_TRIP: Micros = 500;
+const CROSS_ZONE_ROUND_TRIP: Micros = 1_000;
+/// Work of a command as a fraction of its response target.
+const WORK_DIVISOR: Micros = 10;
+/// A slow answer comes after this share of the response target: beyond any soft timeout.
+const SLOW_ANSWER_SHARE: f64 = 0.7;
+/// Calls of the router without an end after which it counts as a busy loop.
+const MAX_CALLS: u64 = 20_000;
+
+/// A change that happens by itself.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// The list tells anew how this server stands.
+    /// The list shows a new state of this server.
     Told {
         server: usize,
         standing: ServerState,
@@ -45,8 +45,8 @@
 enum Due {
     Arrives(usize),
     Ask(usize),
-    Ends { command: usize, dispatch: usize, happens: Happens },
-    Probe { server: usize, happens: Happens },
+    Ends { command: usize, dispatch: usize, happens: DispatchFate },
+    Probe { server: usize, happens: DispatchFate },
     Changes(usize),
     Router,
 }
@@ -59,19 +59,19 @@
     Failed,
 }
 
-/// A command in the host's hands.
+/// A command of the host.
 #[derive(Clone, Debug, Default)]
-pub struct Hand {
+pub struct HostedCommand {
     pub held: PendingCommand,
-    /// The final answer and when it was given.
+    /// Time and kind of the final answer.
     pub end: Option<(Micros, End)>,
     due: Micros,
-    /// How long it has been without a dispatch, at a stretch: the longest, and since when it is.
+    /// Longest time without a dispatch, and since when there is none.
     pub idle: Micros,
     idle_since: Option<Micros>,
 }
 
-/// One line of a run.
+/// A line of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
     pub at: Micros,
@@ -83,7 +83,7 @@
     Arrives {
         command: usize,
     },
-    /// `place` was asked so many times in a row with the same answer.
+    /// `place` was called this many times in a row with the same answer.
     Asked {
         command: usize,
         place: Placement,
@@ -107,23 +107,23 @@
     Changed(Change),
 }
 
-/// Why a world stands still.
+/// Why a simulation pauses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stop {
-    /// The command that is looked at was sent there: what becomes of it is open.
+pub enum PauseReason {
+    /// The examined command was dispatched; its outcome is to be chosen.
     Sent { dispatch: usize, server: usize, timeout: Micros },
     /// It has its final answer.
     Over,
-    /// Its time is over, and the grace, and it has none.
+    /// Its timeout and the grace are over without a final answer.
     Late,
-    /// The router was asked without end.
+    /// The router was called without end.
     Endless,
 }
 
-/// A command that comes to the gateway.
+/// A command that arrives at the gateway.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Coming {
-    /// After the world's beginning, in microseconds.
+pub struct IncomingCommand {
+    /// Time after the start in microseconds.
     pub after: Micros,
     pub command_group: usize,
     pub shard: usize,
@@ -131,14 +131,14 @@
     pub written_ago: Option<Micros>,
 }
 
-/// How a world begins.
+/// How a simulation starts.
 #[derive(Clone, Debug)]
 pub struct Start {
     pub name: String,
-    pub truths: Vec<Truth>,
+    pub truths: Vec<ActualState>,
     /// Whether the router has probed the servers.
     pub warm: bool,
-    /// What changes, and when after the beginning.
+    /// Changes and their times after the start.
     pub changes: Vec<(Micros, Change)>,
 }
 
@@ -147,30 +147,30 @@
     pub subject: Arc<Subject>,
     pub router: S,
     pub now: Micros,
-    pub truths: Vector<Truth>,
+    pub truths: Vector<ActualState>,
     changes: Arc<Vec<(Micros, Change)>>,
-    coming: Arc<Vec<Coming>>,
-    pub hands: Vector<Hand>,
+    coming: Arc<Vec<IncomingCommand>>,
+    pub hands: Vector<HostedCommand>,
     due: OrdMap<(Micros, u32), Due>,
     serial: u32,
     pub trail: Vector<Step>,
-    /// Every dispatch of any command: when, to whom, and its work.
+    /// Every dispatch of any command: time, server, and its work.
     pub sent: Vector<(Micros, usize, Micros)>,
-    /// Calls on the router so far.
+    /// Calls of the router so far.
     pub calls: u64,
 }
 
-impl<S: Steer> World<S> {
-    /// The last of the coming commands is the one that is looked at.
-    pub fn begin(subject: Arc<Subject>, router: S, start: &Start, coming: Arc<Vec<Coming>>) -> Self {
+impl<S: CheckedRouter> World<S> {
+    /// The last of the incoming commands is the examined one.
+    pub fn begin(subject: Arc<Subject>, router: S, start: &Start, coming: Arc<Vec<IncomingCommand>>) -> Self {
         let mut world = World {
             subject,
             router,
-            now: BEGIN - WARMED,
+            now: START_TIME - WARM_UP_TIME,
             truths: start.truths.iter().copied().collect(),
             changes: Arc::new(start.changes.clone()),
             coming: coming.clone(),
-            hands: coming.iter().map(|_| Hand::default()).collect(),
+            hands: coming.iter().map(|_| HostedCommand::default()).collect(),
             due: OrdMap::new(),
             serial: 0,
             trail: Vector::new(),
@@ -182,21 +182,21 @@
             for server in 0..world.truths.len() {
                 let happens = world.truths[server].noticed.then(|| world.probe(server).0);
                 let took = 2 * world.way(server);
-                world.tell_probe(server, took, happens.unwrap_or(Happens::Answer));
+                world.tell_probe(server, took, happens.unwrap_or(DispatchFate::Answer));
             }
         }
-        world.now = BEGIN;
+        world.now = START_TIME;
         for (place, coming) in coming.iter().enumerate() {
-            world.at(BEGIN + coming.after, Due::Arrives(place));
+            world.at(START_TIME + coming.after, Due::Arrives(place));
         }
         for (place, (after, _)) in start.changes.iter().enumerate() {
-            world.at(BEGIN + after, Due::Changes(place));
+            world.at(START_TIME + after, Due::Changes(place));
         }
         world
     }
 
-    /// The command that is looked at.
-    pub fn last(&self) -> &Hand {
+    /// The examined command.
+    pub fn last(&self) -> &HostedCommand {
         &self.hands[self.hands.len() - 1]
     }
 
@@ -222,7 +222,7 @@
         }
     }
 
-    /// The whole list; who is gone is told as a change after it, as discovery would.
+    /// Sends the whole list; removed servers follow as a change, as from discovery.
     fn list_all(&mut self) {
         let entries: Vec<ServerListEntry> =
             (0..self.truths.len()).map(|server| self.listed(server)).collect();
@@ -231,30 +231,34 @@
         for entry in whole.iter_mut().filter(|entry| entry.state == ServerState::Gone) {
             entry.state = ServerState::Serving;
         }
-        self.router.listed(self.now, &whole, true);
+        self.router.update_server_list(self.now, &whole, true);
         let gone: Vec<ServerListEntry> = entries.iter().filter(|entry| !there(entry)).cloned().collect();
         if !gone.is_empty() {
-            self.router.listed(self.now, &gone, false);
+            self.router.update_server_list(self.now, &gone, false);
         }
         self.calls += 2;
     }
 
     /// Half a round trip to a server.
     fn way(&self, server: usize) -> Micros {
-        if self.subject.servers[server].zone == self.subject.own_zone { NEAR } else { FAR }
+        if self.subject.servers[server].zone == self.subject.own_zone {
+            SAME_ZONE_ROUND_TRIP
+        } else {
+            CROSS_ZONE_ROUND_TRIP
+        }
     }
 
-    /// What a probe of this server would bring, and after how long.
-    fn probe(&self, server: usize) -> (Happens, Micros) {
+    /// The result of a probe of this server, and its duration.
+    fn probe(&self, server: usize) -> (DispatchFate, Micros) {
         let (trip, dial) = (2 * self.way(server), self.subject.figures.connect_within);
         match self.truths[server].condition {
-            Condition::Well | Condition::Erring | Condition::Full => (Happens::Answer, trip),
-            Condition::Refusing => (Happens::Unconnected, trip),
-            Condition::Hung | Condition::Cut => (Happens::Silence, dial),
+            Condition::Well | Condition::Erring | Condition::Full => (DispatchFate::Answer, trip),
+            Condition::Refusing => (DispatchFate::Unconnected, trip),
+            Condition::Hung | Condition::Cut => (DispatchFate::Silence, dial),
         }
     }
 
-    /// What the server says of itself.
+    /// The server's report about itself.
     fn report(&self, server: usize) -> Report {
         let truth = &self.truths[server];
         let primary = match truth.claim {
@@ -265,42 +269,42 @@
         Report { position: Some(truth.position(self.now)), primary, ..Report::default() }
     }
 
-    fn tell_probe(&mut self, server: usize, took: Micros, happens: Happens) {
+    fn tell_probe(&mut self, server: usize, took: Micros, happens: DispatchFate) {
         let ending = happens.ending();
         let report = (ending == DispatchEnd::Answered).then(|| self.report(server));
         if report.is_some_and(|report| report.primary == Some(false)) {
             self.truths[server].told_replica = true;
         }
-        self.router.probed(self.now, server, took, ending, report);
+        self.router.on_probe_result(self.now, server, took, ending, report);
         self.calls += 1;
     }
 
-    /// Goes on until the command that is looked at was sent somewhere, or is over.
-    pub fn run(&mut self) -> Stop {
+    /// Runs until the examined command is dispatched or finished.
+    pub fn run(&mut self) -> PauseReason {
         let last = self.hands.len() - 1;
         loop {
             if self.hands[last].end.is_some() {
-                return Stop::Over;
+                return PauseReason::Over;
             }
-            if self.calls > CALLS_MOST {
-                return Stop::Endless;
+            if self.calls > MAX_CALLS {
+                return PauseReason::Endless;
             }
             let Some(((at, serial), due)) = self.due.get_min().map(|(at, due)| (*at, *due)) else {
-                return Stop::Late;
+                return PauseReason::Late;
             };
             let command = &self.hands[last].held.command;
             if command.arrived > 0 && at > command.client_timeout + self.subject.figures.answer_grace {
-                return Stop::Late;
+                return PauseReason::Late;
             }
             self.due.remove(&(at, serial));
             self.now = self.now.max(at);
-            if let Some(stop) = self.fell_due(at, due) {
+            if let Some(stop) = self.on_due(at, due) {
                 return stop;
             }
         }
     }
 
-    fn fell_due(&mut self, at: Micros, due: Due) -> Option<Stop> {
+    fn on_due(&mut self, at: Micros, due: Due) -> Option<PauseReason> {
         match due {
             Due::Arrives(place) => {
                 let coming = &self.coming[place];
@@ -316,9 +320,10 @@
                     customer: None,
                 };
                 let held = PendingCommand { command, dispatches: Vec::new() };
-                self.hands[place] = Hand { held, idle_since: Some(self.now), ..Hand::default() };
+                self.hands[place] =
+                    HostedCommand { held, idle_since: Some(self.now), ..HostedCommand::default() };
                 self.note(What::Arrives { command: place });
-                // The host looks at what the router has due after each batch of events.
+                // The host runs the router's periodic check after each batch of events.
                 self.at(self.now, Due::Router);
                 self.ask(place)
             }
@@ -330,7 +335,7 @@
             Due::Probe { server, happens } => {
                 let took = self.probe(server).1;
                 self.tell_probe(server, took, happens);
-                if happens != Happens::Answer {
+                if happens != DispatchFate::Answer {
                     self.note(What::Probed { server, ending: happens.ending() });
                 }
                 self.at(self.now, Due::Router);
@@ -343,14 +348,14 @@
                 None
             }
             Due::Router => {
-                let wait = self.router.wait(self.now, None);
+                let wait = self.router.next_check(self.now, None);
                 self.calls += 1;
                 for server in wait.probes {
                     let (happens, after) = self.probe(server);
                     self.at(self.now + after, Due::Probe { server, happens });
                 }
                 self.at(self.now + wait.after.max(1), Due::Router);
-                // One such question at a time will do: earlier ones that are still to come are void.
+                // One pending check at a time is enough: earlier ones are void.
                 let later: Vec<(Micros, u32)> = self.routers_due();
                 for key in later.into_iter().skip(1) {
                     self.due.remove(&key);
@@ -373,16 +378,16 @@
                 }
                 (truth.listed_primary, truth.started) = (*primary, *started);
                 let entry = self.listed(*server);
-                self.router.listed(self.now, &[entry], false);
+                self.router.update_server_list(self.now, &[entry], false);
                 self.calls += 1;
             }
-            Change::Primary(server) => self.crown(*server),
+            Change::Primary(server) => self.set_primary(*server),
             Change::Condition(server, condition) => self.truths[*server].condition = *condition,
         }
         self.note(What::Changed(change));
     }
 
-    fn crown(&mut self, server: usize) {
+    fn set_primary(&mut self, server: usize) {
         let shard = self.subject.servers[server].shard;
         let members: Vec<usize> = self.subject.members(shard).collect();
         for member in members {
@@ -394,13 +399,13 @@
         (self.truths[server].primary, self.truths[server].lag) = (true, 0);
     }
 
-    fn ask(&mut self, place: usize) -> Option<Stop> {
+    fn ask(&mut self, place: usize) -> Option<PauseReason> {
         let last = self.hands.len() - 1;
-        // Picks are tried in turn for the command that is looked at alone; for others the seed draws.
-        let picks = if place == last { None } else { self.router.picks(None) };
+        // Picks are tried exhaustively only for the examined command; others use the seed.
+        let picks = if place == last { None } else { self.router.prescribe_draws(None) };
         let placed = self.router.place(self.now, &self.hands[place].held);
         if picks.is_some() {
-            self.router.picks(picks);
+            self.router.prescribe_draws(picks);
         }
         self.calls += 1;
         let same = match self.trail.back() {
@@ -426,7 +431,7 @@
                 let work = self.work(hand_group(&self.hands[place]));
                 self.sent.push_back((now, server, work));
                 if place == last {
-                    stop = Some(Stop::Sent { dispatch, server, timeout });
+                    stop = Some(PauseReason::Sent { dispatch, server, timeout });
                 } else {
                     self.happens(place, dispatch, server, timeout, None);
                 }
@@ -441,7 +446,7 @@
                 return None;
             }
         }
-        let wait = self.router.wait(self.now, Some(&self.hands[place].held));
+        let wait = self.router.next_check(self.now, Some(&self.hands[place].held));
         self.calls += 1;
         let due = self.now + wait.after.max(1);
         if self.hands[place].due != due {
@@ -449,13 +454,13 @@
             self.at(due, Due::Ask(place));
         }
         for dispatch in wait.cancel {
-            // What was called off may be sent elsewhere at once.
-            stop = self.recall(place, dispatch).or(stop);
+            // A cancelled command may be dispatched elsewhere at once.
+            stop = self.cancel(place, dispatch).or(stop);
         }
         stop
     }
 
-    fn recall(&mut self, command: usize, dispatch: usize) -> Option<Stop> {
+    fn cancel(&mut self, command: usize, dispatch: usize) -> Option<PauseReason> {
         let out = self.hands[command].held.dispatches.get(dispatch).is_some_and(|d| d.ended.is_none());
         if !out {
             return None;
@@ -471,39 +476,41 @@
         hand.end = Some((now, end));
     }
 
-    /// The time that a command of this group takes a server.
+    /// Duration of a command of this group at a server.
     pub fn work(&self, command_group: usize) -> Micros {
-        self.subject.command_groups[command_group].response_target / WORK
+        self.subject.command_groups[command_group].response_target / WORK_DIVISOR
     }
 
-    /// What the world has in store for a command that is sent there now.
-    pub fn in_store(&self, place: usize, server: usize) -> Happens {
-        let Some(truth) = self.truths.get(server) else { return Happens::Unconnected };
+    /// The outcome that the scenario determines for a command dispatched there now.
+    pub fn in_store(&self, place: usize, server: usize) -> DispatchFate {
+        let Some(truth) = self.truths.get(server) else { return DispatchFate::Unconnected };
         match truth.condition {
-            Condition::Hung => return Happens::Silence,
-            Condition::Refusing | Condition::Cut => return Happens::Unconnected,
-            Condition::Erring => return Happens::Error,
-            Condition::Full => return Happens::Full,
+            Condition::Hung => return DispatchFate::Silence,
+            Condition::Refusing | Condition::Cut => return DispatchFate::Unconnected,
+            Condition::Erring => return DispatchFate::Error,
+            Condition::Full => return DispatchFate::Full,
             Condition::Well => {}
         }
         if truth.standing == ServerState::Draining {
-            return Happens::Full;
+            return DispatchFate::Full;
         }
         if truth.standing == ServerState::Gone && self.subject.figures.gone_binds {
-            return Happens::Unconnected;
+            return DispatchFate::Unconnected;
         }
         let need = self.subject.command_groups[hand_group(&self.hands[place])].need;
         if need == Need::Write {
-            return if truth.primary { Happens::Answer } else { Happens::Miss };
+            return if truth.primary { DispatchFate::Answer } else { DispatchFate::Miss };
         }
         match self.subject.figures.guards {
-            Guards::None => Happens::Answer,
-            _ if self.needed(place).is_some_and(|needed| truth.position(self.now) < needed) => Happens::Miss,
-            _ => Happens::Answer,
+            Guards::None => DispatchFate::Answer,
+            _ if self.needed(place).is_some_and(|needed| truth.position(self.now) < needed) => {
+                DispatchFate::Miss
+            }
+            _ => DispatchFate::Answer,
         }
     }
 
-    /// The data that a command must see if it is sent now, as a position; None: any will do.
+    /// The position that a command must see if dispatched now; `None` if any.
     pub fn needed(&self, place: usize) -> Option<Micros> {
         let command = &self.hands[place].held.command;
         match self.subject.command_groups[command.command_group].need {
@@ -517,17 +524,17 @@
         }
     }
 
-    /// Decides what becomes of a dispatch; None: what the world has in store.
+    /// Chooses the outcome of a dispatch; `None`: that determined by the scenario.
     pub fn happens(
         &mut self,
         command: usize,
         dispatch: usize,
         server: usize,
         timeout: Micros,
-        happens: Option<Happens>,
+        happens: Option<DispatchFate>,
     ) {
         let happens = match happens {
-            Some(Happens::Change) => {
+            Some(DispatchFate::Change) => {
                 let shard = self.hands[command].held.command.group;
                 let next = self.subject.members(shard).find(|member| !self.truths[*member].primary);
                 if let Some(next) = next {
@@ -538,34 +545,34 @@
             Some(happens) => happens,
             None => self.in_store(command, server),
         };
-        let trip = if server < self.truths.len() { 2 * self.way(server) } else { NEAR };
+        let trip = if server < self.truths.len() { 2 * self.way(server) } else { SAME_ZONE_ROUND_TRIP };
         let command_group = hand_group(&self.hands[command]);
         let target = self.subject.command_groups[command_group].response_target;
         let after = match happens {
-            // What may have run has taken its time first.
-            Happens::Answer | Happens::Change | Happens::Error | Happens::Reset => {
+            // A command that may have executed took its time first.
+            DispatchFate::Answer | DispatchFate::Change | DispatchFate::Error | DispatchFate::Reset => {
                 trip + self.work(command_group)
             }
-            Happens::Slow => trip + (target as f64 * SLOW) as Micros,
-            Happens::Miss => match self.subject.figures.guards {
+            DispatchFate::Slow => trip + (target as f64 * SLOW_ANSWER_SHARE) as Micros,
+            DispatchFate::Miss => match self.subject.figures.guards {
                 Guards::Wait(patience) if !self.subject.command_groups[command_group].writes() => {
                     trip + patience
                 }
                 _ => trip,
             },
-            Happens::Silence => timeout,
-            Happens::Unconnected
+            DispatchFate::Silence => timeout,
+            DispatchFate::Unconnected
                 if self.truths.get(server).is_some_and(|t| t.condition == Condition::Cut) =>
             {
                 self.subject.figures.connect_within
             }
             _ => trip,
         };
-        let happens = if after >= timeout { Happens::Silence } else { happens };
+        let happens = if after >= timeout { DispatchFate::Silence } else { happens };
         self.at(self.now + after.min(timeout), Due::Ends { command, dispatch, happens });
     }
 
-    fn ends(&mut self, place: usize, dispatch: usize, ending: DispatchEnd) -> Option<Stop> {
+    fn ends(&mut self, place: usize, dispatch: usize, ending: DispatchEnd) -> Option<PauseReason> {
         let now = self.now;
         let hand = &mut self.hands[place];
         let (sent, server) = match hand.held.dispatches.get_mut(dispatch) {
@@ -606,43 +613,50 @@
             answer_report: stated,
             load_report: report,
         };
-        let after = self.router.after(now, &self.hands[place].held, &outcome);
+        let after = self.router.on_outcome(now, &self.hands[place].held, &outcome);
         self.calls += 1;
         self.note(What::Ended { command: place, dispatch, server, ending, over });
         self.at(now, Due::Router);
         match after {
             NextStep::PlaceAgain if !over => {
-                // On a machine time goes on between an outcome and the next question.
+                // On a real machine time passes between an outcome and the next question.
                 self.now += 1;
                 self.ask(place)
             }
             NextStep::PlaceAgain => None,
             NextStep::Finished { cancel: recall } => {
                 for dispatch in recall {
-                    self.recall(place, dispatch);
+                    self.cancel(place, dispatch);
                 }
                 None
             }
         }
     }
 
-    /// Marks of all that the rest of a run depends on; the way here does not count.
+    /// Hash of everything that the rest of a run depends on; its past does not count.
     pub fn digest(&self) -> u64 {
         let mut hasher = FxHasher::default();
-        (self.router.digest(), self.now).hash(&mut hasher);
+        (self.router.state_hash(), self.now).hash(&mut hasher);
         for truth in &self.truths {
-            let Truth {
-                standing, told_at, primary, listed_primary, claim, was_primary, told_replica, ..
+            let ActualState {
+                standing,
+                told_at,
+                primary,
+                listed_primary,
+                claim,
+                was_primary,
+                told_replica,
+                ..
             } = truth;
             (*standing as u8, told_at, primary, listed_primary, claim, was_primary, told_replica)
                 .hash(&mut hasher);
-            let Truth { lag, condition, started, failed, .. } = truth;
+            let ActualState { lag, condition, started, failed, .. } = truth;
             (lag, condition, started, failed).hash(&mut hasher);
         }
         for ((at, _), due) in &self.due {
             (at, due).hash(&mut hasher);
         }
-        // The rule on cold servers looks back at all that was sent.
+        // The overload rule of cold servers considers all earlier dispatches.
         for sent in &self.sent {
             sent.hash(&mut hasher);
         }
@@ -657,7 +671,7 @@
     }
 }
 
-impl Hand {
+impl HostedCommand {
     fn idle_over(&mut self, now: Micros) {
         if let Some(since) = self.idle_since.take() {
             self.idle = self.idle.max(now - since);
@@ -665,6 +679,6 @@
     }
 }
 
-fn hand_group(hand: &Hand) -> usize {
+fn hand_group(hand: &HostedCommand) -> usize {
     hand.held.command.command_group
 }
--- a/crates/expect/tests/common/mod.rs
+++ b/crates/expect/tests/common/mod.rs
@@ -1,12 +1,12 @@
-//! Example files with what their heads say of them. Each test program uses its part.
+//! Example files with the expected results in their headers. Each test program uses a part of it.
 #![allow(dead_code)]
 
 use std::path::{Path, PathBuf};
 
 use serde_json::Value as Json;
-use tansyjunction_expect::explore::Make;
+use tansyjunction_expect::explore::RouterFactory;
 use tansyjunction_expect::report::why;
-use tansyjunction_expect::steer::Steer;
+use tansyjunction_expect::steer::CheckedRouter;
 use tansyjunction_expect::{Input, Report, Subject, check};
 use tansyjunction_settings::{Ini, ProgramSettings};
 
@@ -14,7 +14,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/examples/expectations")
 }
 
-/// One file: `; key: value` in its first lines, then the expectations.
+/// An example file: `; key: value` in its first lines, then the expectations.
 pub struct Example {
     pub name: String,
     pub text: String,
@@ -67,18 +67,18 @@
     Input::read(subject, inis, bounds, "settings.ini".into()).map_err(|fault| fault.to_string())
 }
 
-/// Checks without a limit on time, so that the same is found on every machine.
-pub fn checked<S: Steer>(input: &Input, make: Make<S>) -> Result<Report, String> {
+/// Checks without a time limit, so that the result is the same on every machine.
+pub fn checked<S: CheckedRouter>(input: &Input, make: RouterFactory<S>) -> Result<Report, String> {
     check(input, &|| false, make)
 }
 
-/// All that fails, a line each.
+/// All failures, one line each.
 pub fn failures(report: &Report) -> String {
     let each = report.checked.iter().filter_map(why);
     each.chain(report.faults.iter().map(ToString::to_string)).collect::<Vec<_>>().join("\n")
 }
 
-/// A configuration of `shards` shards with `members` servers each, spread over two zones, and so many expectations.
+/// A configuration of `shards` shards with `members` servers each in two zones, and expectations for it.
 pub fn large(shards: usize, members: usize, expectations: usize) -> (Json, String) {
     let mut config = config("shop.json");
     let hosts = (0..shards).flat_map(|shard| (0..members).map(move |member| (shard, member)));
--- a/crates/expect/tests/examples.rs
+++ b/crates/expect/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The examples that operators are given: right ones hold, wrong ones fail for the reason that they state.
+//! The examples for operators: valid ones hold, invalid ones fail for the stated reason.
 
 mod common;
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// Guards against counterexamples that can't be told apart from luck: each runs again from its file alone.
+/// Each counterexample must be repeatable from its file alone.
 #[test]
 fn every_counterexample_runs_again_from_its_file() {
     let mut ran = 0;
--- a/crates/expect/tests/lying.rs
+++ b/crates/expect/tests/lying.rs
@@ -1,4 +1,4 @@
-//! Routers that lie in one rule at a time: each lie must be caught, and the router itself must not be.
+//! Routers that each violate one rule: every violation must be found, and none in the real router.
 
 mod common;
 
@@ -6,23 +6,23 @@
 use tansyjunction::Router;
 use tansyjunction::interface::*;
 use tansyjunction_expect::router;
-use tansyjunction_expect::steer::Steer;
+use tansyjunction_expect::steer::CheckedRouter;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Lie {
-    /// Never gives a command up, and never sends it.
+    /// Never abandons a command nor dispatches it.
     NoAnswer,
-    /// Sends a mutating command again though it may have run.
+    /// Repeats a mutating command that may have executed.
     Resends,
-    /// Sends a keyed command again when its window is over.
+    /// Repeats a keyed command after its window.
     ResendsLate,
-    /// Throttles what may have run.
+    /// Throttles a command that may have executed.
     Throttles,
-    /// Hears of no drains.
+    /// Ignores draining.
     IgnoresDrains,
-    /// Takes a cold server for a warm one.
+    /// Treats a cold server as warm.
     IgnoresCold,
-    /// Takes every replica for up to date.
+    /// Treats every replica as up to date.
     IgnoresLag,
     /// Sends writes to a replica.
     WritesToReplica,
@@ -35,8 +35,8 @@
     primaries: Vec<usize>,
 }
 
-impl Steer for Liar {
-    fn listed(&mut self, now: Micros, entries: &[ServerListEntry], whole: bool) {
+impl CheckedRouter for Liar {
+    fn update_server_list(&mut self, now: Micros, entries: &[ServerListEntry], whole: bool) {
         let mut entries = entries.to_vec();
         for entry in &mut entries {
             match self.lie {
@@ -51,7 +51,14 @@
         self.router.update_server_list(now, Some(&entries), whole);
     }
 
-    fn probed(&mut self, now: Micros, server: usize, took: Micros, end: DispatchEnd, report: Option<Report>) {
+    fn on_probe_result(
+        &mut self,
+        now: Micros,
+        server: usize,
+        took: Micros,
+        end: DispatchEnd,
+        report: Option<Report>,
+    ) {
         let report = report.map(|report| match self.lie {
             Lie::IgnoresLag => Report { position: Some(now), ..report },
             _ => report,
@@ -86,7 +93,7 @@
         }
     }
 
-    fn after(&mut self, now: Micros, held: &PendingCommand, outcome: &Outcome) -> NextStep {
+    fn on_outcome(&mut self, now: Micros, held: &PendingCommand, outcome: &Outcome) -> NextStep {
         let mut outcome = outcome.clone();
         if self.lie == Lie::IgnoresLag {
             outcome.answer_report.position = outcome.answer_report.position.map(|_| now);
@@ -94,25 +101,25 @@
         self.router.on_outcome(now, held, &outcome)
     }
 
-    fn wait(&mut self, now: Micros, held: Option<&PendingCommand>) -> NextCheck {
+    fn next_check(&mut self, now: Micros, held: Option<&PendingCommand>) -> NextCheck {
         let wait = self.router.next_check(now, held);
-        // Its own answers have to be asked for soon enough.
+        // It must be asked soon enough for its own answers.
         NextCheck {
             after: if held.is_some() { wait.after.clamp(1_000, 100_000) } else { wait.after },
             ..wait
         }
     }
 
-    fn picks(&mut self, picks: Option<PrescribedDraws>) -> Option<PrescribedDraws> {
+    fn prescribe_draws(&mut self, picks: Option<PrescribedDraws>) -> Option<PrescribedDraws> {
         self.router.prescribe_draws(picks)
     }
 
-    fn digest(&self) -> u64 {
-        Steer::digest(&self.router)
+    fn state_hash(&self) -> u64 {
+        CheckedRouter::state_hash(&self.router)
     }
 }
 
-/// What an operator would expect of these commands; the rules are checked without being named.
+/// Expectations of an operator about these commands; the rules are checked implicitly.
 const EXPECTED: &str = "
 [expectation orders]
 commands = order
@@ -143,7 +150,7 @@
 fn every_lie_is_caught_by_its_rule_and_the_router_is_not() {
     let mut config = config("orders.json");
     config["settings"]["limits"]["max_attempts"] = 4.into();
-    // The lie about windows needs a keyed command group whose clients wait longer than its window.
+    // A violated window needs a keyed command group whose clients wait longer than the window.
     let mut keyed = config.clone();
     let order = &mut keyed["settings"]["categories"][1];
     (order["effect"], order["window"], order["dedup_scope"]) =
--- a/crates/expect/tests/scale.rs
+++ b/crates/expect/tests/scale.rs
@@ -1,4 +1,4 @@
-//! A large configuration, and searches that are cut short.
+//! A large configuration, and incomplete searches.
 
 mod common;
 
@@ -20,7 +20,7 @@
     assert!(took < Duration::from_secs(10), "{took:?}");
 }
 
-/// Guards against a search that goes on for ever, or that is cut short and says nothing.
+/// A search must not run forever, nor be cut short silently.
 #[test]
 fn a_search_that_is_cut_short_says_so() {
     let text = "[expectation e]\ncommands = *\nin = *\nfaults = *\nfault_count = 4\nanswered = within 15s\n";
--- a/crates/expect/tests/seeded.rs
+++ b/crates/expect/tests/seeded.rs
@@ -1,4 +1,4 @@
-//! Faults seeded into a right configuration: what share of them the expectations beside it catch.
+//! Faults seeded into a valid configuration: the share that its expectations detect.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use serde_json::{Value as Json, json};
 use tansyjunction_expect::router;
 
-/// A slip of the pen, and why it may go unnoticed; empty: it must not.
+/// A mistake in the configuration, and why it may go undetected; empty if it must not.
 type Fault = (&'static str, fn(&mut Json, &mut Rng) -> bool, &'static str);
 
 fn hosts(config: &mut Json) -> &mut Vec<Json> {
@@ -196,7 +196,7 @@
     ),
 ];
 
-/// Seeds of the CI's form; the long form is behind `--ignored`.
+/// Seeds of the short form for CI; the long form is behind `--ignored`.
 fn seeded(seeds: u64) {
     let guard = std::fs::read_to_string(folder().join("guard.ini")).expect("the guard");
     let right = input(config("shop.json"), &[&guard], "").expect("it is read");
@@ -225,7 +225,7 @@
     }
     println!("{caught} of {all} seeded faults are caught; survivors: {survived:?}");
     assert!(missed.is_empty(), "not caught and not explained: {missed:#?}");
-    // Guards against reasons that no longer hold.
+    // The given reasons must still apply.
     for (name, _, reason) in FAULTS {
         assert!(reason.is_empty() || survived.contains_key(name), "{name} is caught now: it needs no reason");
     }
--- a/crates/expect/tests/torn.rs
+++ b/crates/expect/tests/torn.rs
@@ -1,4 +1,4 @@
-//! Files that were torn or garbled: each ends with a verdict or one clear line, never with a panic.
+//! Truncated or corrupted files: each ends with a verdict or one clear error, never with a panic.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use fastrand::Rng;
 use tansyjunction_expect::{check, router};
 
-/// Drops, doubles, swaps or garbles a part of a text.
+/// Removes, duplicates, swaps or corrupts a part of a text.
 fn garbled(text: &str, rng: &mut Rng) -> String {
     let mut lines: Vec<String> = text.lines().map(String::from).collect();
     for _ in 0..rng.usize(1..4) {
--- a/crates/gateway/src/council/effect.rs
+++ b/crates/gateway/src/council/effect.rs
@@ -127,7 +127,7 @@
 
 #[cfg(test)]
 mod tests {
-    use tansyjunction_standin::{Shape, Store};
+    use tansyjunction_standin::{Store, StoreConfig};
 
     use super::*;
 
@@ -141,7 +141,7 @@
 
     #[test]
     fn a_server_is_made_the_primary_and_an_older_epoch_is_refused() {
-        let shape = Shape { shards: 1, gap: Duration::from_millis(1), ..Shape::default() };
+        let shape = StoreConfig { shards: 1, gap: Duration::from_millis(1), ..StoreConfig::default() };
         let store = Store::start(shape).expect("a store");
         let soon = boottime() + 10 * SECOND;
         assert_eq!(switch(&store, 1, 4, soon), Ok(()));
@@ -160,7 +160,7 @@
 
     #[test]
     fn an_answer_that_does_not_come_may_be_a_yes() {
-        let shape = Shape { shards: 1, gap: Duration::from_millis(1), ..Shape::default() };
+        let shape = StoreConfig { shards: 1, gap: Duration::from_millis(1), ..StoreConfig::default() };
         let store = Store::start(shape).expect("a store");
         store.slow(Duration::from_millis(1_200));
         let end = switch(&store, 1, 1, boottime() + 10 * SECOND);
--- a/crates/rig/src/duties.rs
+++ b/crates/rig/src/duties.rs
@@ -1,14 +1,14 @@
-//! What gateways said and did about duties against what may happen: one history from all logs, the store's own record,
-//! and what the rig did to the processes. Times are the machine's monotonic clock in microseconds, which all share.
+//! Checks of duties: what gateways logged and did, the store's record and the injected faults form one history. Times
+//! are the machine's monotonic clock in microseconds, which all processes share.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::Serialize;
 use serde_json::Value as Json;
 
-/// What one gateway logged of the council.
+/// A log line of a gateway with target `council`.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Line {
+pub struct LogLine {
     pub at: u64,
     pub by: usize,
     /// granted, lapsed, revoked, released, handed-on, effect-start, effect-end, effect-refused, document, leads,
@@ -16,15 +16,15 @@
     pub what: String,
     pub duty: String,
     pub epoch: u64,
-    /// Until when the duty was, or is, this gateway's.
+    /// End of the lease of the duty.
     pub until: Option<u64>,
-    /// The whole line.
+    /// The complete line.
     pub all: Json,
 }
 
-/// What the rig did to a process.
+/// What was done to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Act {
+pub enum ProcessAction {
     Started,
     Killed,
     Paused,
@@ -34,13 +34,13 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct Acted {
+pub struct ActionRecord {
     pub at: u64,
     pub who: usize,
-    pub act: Act,
+    pub act: ProcessAction,
 }
 
-/// A switch of a shard's primary by the store's record: when the statement came, and when it was done, if it was.
+/// A switch of a shard's primary in the store's record: arrival, and completion if any.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Effect {
     pub shard: usize,
@@ -49,14 +49,14 @@
     pub done: Option<u64>,
 }
 
-/// A document that somebody was told to be agreed.
+/// A document that was acknowledged as agreed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Agreed {
     pub name: String,
     pub version: u64,
 }
 
-/// A time in which a gateway held a duty by its own word, and was able to act by it.
+/// A period in which a gateway held a duty by its own log and was able to act.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Held {
     pub duty: String,
@@ -68,24 +68,24 @@
     pub end: String,
 }
 
-/// All of a run.
+/// History of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct History {
-    pub lines: Vec<Line>,
-    pub acts: Vec<Acted>,
+    pub lines: Vec<LogLine>,
+    pub acts: Vec<ActionRecord>,
     pub effects: Vec<Effect>,
     pub agreed: Vec<Agreed>,
-    /// By gateway that runs in the end, the documents that it has, with their versions.
-    pub kept: Kept,
-    /// When the run was over.
+    /// Documents with versions of each gateway running at the end.
+    pub kept: KnownDocuments,
+    /// End of the run.
     pub end: u64,
 }
 
-/// The documents that a gateway has, with their versions, by gateway.
-pub type Kept = BTreeMap<usize, BTreeMap<String, u64>>;
+/// Documents with their versions, by gateway.
+pub type KnownDocuments = BTreeMap<usize, BTreeMap<String, u64>>;
 
-/// What was acknowledged and is not there, or older: at which gateway, and the version that it has.
-pub fn lacking<'a>(agreed: &'a [Agreed], kept: &Kept) -> Vec<(usize, &'a Agreed, u64)> {
+/// Acknowledged documents that are missing or older, with the gateway and its version.
+pub fn missing_documents<'a>(agreed: &'a [Agreed], kept: &KnownDocuments) -> Vec<(usize, &'a Agreed, u64)> {
     let mut lacking = Vec::new();
     for (by, kept) in kept {
         for agreed in agreed {
@@ -98,20 +98,20 @@
     lacking
 }
 
-/// The council's lines of a gateway's log.
-pub fn read(by: usize, log: &str) -> Vec<Line> {
+/// The lines of a gateway's log with target `council`.
+pub fn read(by: usize, log: &str) -> Vec<LogLine> {
     let lines = log.lines().filter_map(|line| {
         let all: Json = serde_json::from_str(line).ok().filter(|all: &Json| all["target"] == "council")?;
         let (what, at) = (all["what"].as_str()?.to_string(), all["mono"].as_u64()?);
         let (duty, epoch) = (all["duty"].as_str().unwrap_or(""), all["epoch"].as_u64().unwrap_or(0));
-        Some(Line { at, by, what, duty: duty.into(), epoch, until: all["until"].as_u64(), all })
+        Some(LogLine { at, by, what, duty: duty.into(), epoch, until: all["until"].as_u64(), all })
     });
     lines.collect()
 }
 
-/// Microseconds in which a process that was woken has looked at its leases.
-const WAKES: u64 = 100_000;
-const ENDS: [&str; 4] = ["lapsed", "revoked", "released", "handed-on"];
+/// Time in µs within which a resumed process has checked its leases.
+const WAKE_TIME: u64 = 100_000;
+const END_EVENTS: [&str; 4] = ["lapsed", "revoked", "released", "handed-on"];
 
 impl History {
     pub fn sort(&mut self) {
@@ -119,13 +119,14 @@
         self.acts.sort_by_key(|acted| acted.at);
     }
 
-    /// Who held what and when: from its word to its word of the end, or to the end of the lease that this word tells.
+    /// Who held which duty and when: from the log of its start to the log of its end, or to the end of the logged
+    /// lease.
     pub fn held(&self) -> Vec<Held> {
         let mut all = Vec::new();
         for (place, line) in self.lines.iter().enumerate().filter(|(_, line)| line.what == "granted") {
-            let same = |other: &&Line| {
+            let same = |other: &&LogLine| {
                 (other.by, &other.duty, other.epoch) == (line.by, &line.duty, line.epoch)
-                    && ENDS.contains(&other.what.as_str())
+                    && END_EVENTS.contains(&other.what.as_str())
             };
             let ended = self.lines[place..].iter().find(same);
             let (mut to, mut end) = match ended {
@@ -134,16 +135,19 @@
                 }
                 None => (self.end, "end".into()),
             };
-            let of =
-                |act: Act| self.acts.iter().filter(move |acted| acted.who == line.by && acted.act == act);
-            if let Some(killed) = of(Act::Killed).find(|killed| (line.at..to).contains(&killed.at)) {
-                // One that was killed as it woke had no time to say that its lease had run out meanwhile.
-                let asleep =
-                    |woke: &&Acted| (line.at..killed.at).contains(&woke.at) && killed.at < woke.at + WAKES;
-                let woke = of(Act::WentOn).rfind(asleep).map_or(killed.at, |woke| woke.at);
-                let paused = of(Act::Paused).rfind(|paused| (line.at..=woke).contains(&paused.at));
-                let stood =
-                    paused.filter(|paused| !of(Act::WentOn).any(|on| (paused.at..woke).contains(&on.at)));
+            let of = |act: ProcessAction| {
+                self.acts.iter().filter(move |acted| acted.who == line.by && acted.act == act)
+            };
+            if let Some(killed) = of(ProcessAction::Killed).find(|killed| (line.at..to).contains(&killed.at))
+            {
+                // A process killed right after its resumption had no time to log that its lease expired meanwhile.
+                let asleep = |woke: &&ActionRecord| {
+                    (line.at..killed.at).contains(&woke.at) && killed.at < woke.at + WAKE_TIME
+                };
+                let woke = of(ProcessAction::WentOn).rfind(asleep).map_or(killed.at, |woke| woke.at);
+                let paused = of(ProcessAction::Paused).rfind(|paused| (line.at..=woke).contains(&paused.at));
+                let stood = paused
+                    .filter(|paused| !of(ProcessAction::WentOn).any(|on| (paused.at..woke).contains(&on.at)));
                 (to, end) = (stood.map_or(killed.at, |paused| paused.at), "killed".into());
             }
             let (duty, epoch) = (line.duty.clone(), line.epoch);
@@ -153,11 +157,16 @@
         all
     }
 
-    /// Everything that broke a rule, in words; each begins with the rule's name.
-    pub fn broken(&self) -> Vec<String> {
+    /// All violations; each text begins with the name of the rule.
+    pub fn violations(&self) -> Vec<String> {
         let held = self.held();
-        let rules = [self.two_holders(&held), self.effects(&held), self.unfenced(), self.unsaid()];
-        [rules.concat(), self.lost(), self.disagree()].concat()
+        let rules = [
+            self.two_holders(&held),
+            self.effects(&held),
+            self.unfenced_effects(),
+            self.unannounced_effects(),
+        ];
+        [rules.concat(), self.lost(), self.conflicting_versions()].concat()
     }
 
     fn two_holders(&self, held: &[Held]) -> Vec<String> {
@@ -198,8 +207,8 @@
         broken
     }
 
-    /// The store's own record: what it did stands in the order of epochs.
-    fn unfenced(&self) -> Vec<String> {
+    /// The store's record: executed switches must be in the order of epochs.
+    fn unfenced_effects(&self) -> Vec<String> {
         let mut done: Vec<&Effect> = self.effects.iter().filter(|effect| effect.done.is_some()).collect();
         done.sort_by_key(|effect| effect.done);
         let mut newest: BTreeMap<usize, u64> = BTreeMap::new();
@@ -214,8 +223,8 @@
         broken
     }
 
-    /// What came to the store and no gateway had said to begin.
-    fn unsaid(&self) -> Vec<String> {
+    /// Switches in the store that no gateway logged the start of.
+    fn unannounced_effects(&self) -> Vec<String> {
         let said = |effect: &&Effect| {
             self.lines.iter().any(|line| {
                 let duty = line.duty == format!("conductor/{}", effect.shard);
@@ -226,9 +235,9 @@
         unsaid.map(|effect| format!("effect that nobody began: {effect:?}")).collect()
     }
 
-    /// What was acknowledged and is not there, or older, at one that runs in the end.
+    /// Acknowledged documents that are missing or older at a gateway running at the end.
     fn lost(&self) -> Vec<String> {
-        let lacking = lacking(&self.agreed, &self.kept).into_iter();
+        let lacking = missing_documents(&self.agreed, &self.kept).into_iter();
         let told = |(by, agreed, there)| format!("acknowledged and lost: {agreed:?} is {there} at n{by}");
         let mut broken: Vec<String> = lacking.map(told).collect();
         let mut seen = BTreeSet::new();
@@ -240,8 +249,8 @@
         broken
     }
 
-    /// One version of a document that is not the same to all.
-    fn disagree(&self) -> Vec<String> {
+    /// Versions of a document with different content.
+    fn conflicting_versions(&self) -> Vec<String> {
         let mut seen: BTreeMap<(String, u64), (usize, Json)> = BTreeMap::new();
         let mut broken = Vec::new();
         for line in self.lines.iter().filter(|line| line.what == "document") {
@@ -263,8 +272,7 @@
         broken
     }
 
-    /// Microseconds from the moment at which the holder of a duty could no longer act, to when the next one could; by
-    /// the epoch of the next.
+    /// Time in µs from when a holder could no longer act to when the next one could, by the next one's epoch.
     pub fn without(&self, duty: &str) -> BTreeMap<u64, u64> {
         let held: Vec<Held> = self.held().into_iter().filter(|held| held.duty == duty).collect();
         let pairs = held.windows(2).filter(|pair| pair[0].epoch < pair[1].epoch);
@@ -278,17 +286,17 @@
 
     const DUTY: &str = "conductor/0";
 
-    fn line(at: u64, by: usize, what: &str, epoch: u64) -> Line {
-        Line { at, by, what: what.into(), duty: DUTY.into(), epoch, until: None, all: Json::Null }
+    fn line(at: u64, by: usize, what: &str, epoch: u64) -> LogLine {
+        LogLine { at, by, what: what.into(), duty: DUTY.into(), epoch, until: None, all: Json::Null }
     }
 
-    fn of(lines: Vec<Line>) -> History {
+    fn of(lines: Vec<LogLine>) -> History {
         let mut history = History { lines, end: 1_000, ..History::default() };
         history.sort();
         history
     }
 
-    /// n1 holds it and stands still, n2 does it, n1 wakes and says that its lease is over since long.
+    /// n1 holds it and is paused, n2 takes over, n1 resumes and logs that its lease had expired long ago.
     fn right() -> History {
         let effect = |epoch, came, done| Effect { shard: 0, epoch, came, done };
         let mut history = of(vec![
@@ -297,7 +305,7 @@
             line(300, 2, "granted", 2),
             line(310, 2, "effect-start", 2),
             line(330, 2, "effect-end", 2),
-            Line { until: Some(250), ..line(400, 1, "lapsed", 1) },
+            LogLine { until: Some(250), ..line(400, 1, "lapsed", 1) },
             line(500, 2, "released", 2),
         ]);
         history.effects = vec![effect(1, 112, None), effect(2, 312, Some(325))];
@@ -309,19 +317,33 @@
     #[test]
     fn a_history_that_is_right_is_found_so_and_measured() {
         let history = right();
-        assert_eq!(history.broken(), Vec::<String>::new());
+        assert_eq!(history.violations(), Vec::<String>::new());
         assert_eq!(history.without(DUTY), BTreeMap::from([(2, 50)]));
     }
 
-    /// One that dies holds it until then; one that stood still as it died, until it did.
+    /// A killed gateway holds a duty until its death; one killed while paused, until the pause.
     #[test]
     fn who_is_killed_holds_nothing_any_more() {
-        let at = |at, act| Acted { at, who: 1, act };
+        let at = |at, act| ActionRecord { at, who: 1, act };
         for (acts, to) in [
-            (vec![at(250, Act::Killed)], 250),
-            (vec![at(120, Act::Paused), at(250, Act::Killed)], 120),
-            (vec![at(120, Act::Paused), at(240, Act::WentOn), at(250, Act::Killed)], 120),
-            (vec![at(120, Act::Paused), at(130, Act::WentOn), at(500_000, Act::Killed)], 500_000),
+            (vec![at(250, ProcessAction::Killed)], 250),
+            (vec![at(120, ProcessAction::Paused), at(250, ProcessAction::Killed)], 120),
+            (
+                vec![
+                    at(120, ProcessAction::Paused),
+                    at(240, ProcessAction::WentOn),
+                    at(250, ProcessAction::Killed),
+                ],
+                120,
+            ),
+            (
+                vec![
+                    at(120, ProcessAction::Paused),
+                    at(130, ProcessAction::WentOn),
+                    at(500_000, ProcessAction::Killed),
+                ],
+                500_000,
+            ),
         ] {
             let granted = vec![line(100, 1, "granted", 1)];
             let history = History { acts, ..History { end: 900_000, ..of(granted) } };
@@ -341,10 +363,10 @@
             ("effect without the duty", |history| history.lines.push(line(105, 3, "effect-start", 9))),
             ("effects out of order", |history| history.lines.push(line(320, 1, "effect-start", 1))),
             ("effect after the lease", |history| {
-                history.lines.push(Line { until: Some(319), ..line(320, 2, "effect-start", 2) });
+                history.lines.push(LogLine { until: Some(319), ..line(320, 2, "effect-start", 2) });
             }),
             ("done out of order", |history| {
-                // As by a store without the fence.
+                // As by a store without fencing.
                 history.effects[0].done = Some(395);
             }),
             ("effect that nobody began", |history| history.lines.retain(|line| line.at != 310)),
@@ -355,41 +377,43 @@
             let mut history = right();
             change(&mut history);
             history.sort();
-            let broken = history.broken();
+            let broken = history.violations();
             assert!(broken.iter().any(|said| said.starts_with(name)), "{name}: {broken:?}");
         }
     }
 
-    /// A follower hears of what was acknowledged a beat or two later: until then it lacks it. One that never hears of
-    /// it has lost it, however long was waited.
+    /// A follower receives acknowledged documents a heartbeat or two later and lacks them until then. One that never
+    /// receives them has lost them, however long the wait.
     #[test]
     fn what_comes_late_is_lacked_until_it_is_there_and_what_never_comes_is_lost() {
         let mut history = right();
         history.kept.insert(3, BTreeMap::from([("plan/0".to_string(), 1)]));
         for (version, lacks) in [(1, true), (2, false), (3, false)] {
             history.kept.insert(4, BTreeMap::from([("plan/0".to_string(), version)]));
-            let lacking: Vec<_> =
-                lacking(&history.agreed, &history.kept).iter().map(|(by, _, there)| (*by, *there)).collect();
+            let lacking: Vec<_> = missing_documents(&history.agreed, &history.kept)
+                .iter()
+                .map(|(by, _, there)| (*by, *there))
+                .collect();
             assert_eq!(lacking, if lacks { vec![(3, 1), (4, 1)] } else { vec![(3, 1)] }, "{version}");
         }
         history.kept.insert(5, BTreeMap::new());
         let lost = |there, by| {
             format!("acknowledged and lost: Agreed {{ name: \"plan/0\", version: 2 }} is {there} at n{by}")
         };
-        assert_eq!(history.broken(), [lost(1, 3), lost(0, 5)]);
+        assert_eq!(history.violations(), [lost(1, 3), lost(0, 5)]);
     }
 
     #[test]
     fn two_decisions_of_one_version_are_found_and_a_lease_ends_when_it_said() {
-        let document = |by, number: u64| Line {
+        let document = |by, number: u64| LogLine {
             all: serde_json::json!({"name": "plan/0", "version": 1, "number": number}),
             ..line(10, by, "document", 0)
         };
-        assert_eq!(of(vec![document(1, 7), document(2, 7)]).broken(), Vec::<String>::new());
-        assert!(of(vec![document(1, 7), document(2, 8)]).broken()[0].starts_with("two decisions"));
-        let lapsed = Line { until: Some(200), ..line(290, 1, "lapsed", 1) };
+        assert_eq!(of(vec![document(1, 7), document(2, 7)]).violations(), Vec::<String>::new());
+        assert!(of(vec![document(1, 7), document(2, 8)]).violations()[0].starts_with("two decisions"));
+        let lapsed = LogLine { until: Some(200), ..line(290, 1, "lapsed", 1) };
         let late = of(vec![line(100, 1, "granted", 1), lapsed, line(210, 2, "granted", 2)]);
-        assert_eq!((late.broken(), late.without(DUTY)), (vec![], BTreeMap::from([(2, 10)])));
+        assert_eq!((late.violations(), late.without(DUTY)), (vec![], BTreeMap::from([(2, 10)])));
     }
 
     #[test]
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes of the program: started, told to stop, killed, made to stand still.
+//! Gateway processes: started, stopped, killed and paused.
 
 use std::fs::File;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -12,22 +12,22 @@
 use serde_json::{Value as Json, json};
 use tansyjunction_standin::{Client, Reply};
 
-use crate::duties::{Act, Acted};
+use crate::duties::{ActionRecord, ProcessAction};
 use crate::links::Links;
 use crate::plan::{Plan, ZONES};
 
-/// No gateway takes longer to start, or to stop.
-const STARTS_WITHIN: Duration = Duration::from_secs(20);
-const STOPS_WITHIN: Duration = Duration::from_secs(10);
-/// The key of a rig's gateways; it proves nothing to anybody else.
+/// Timeouts of start and stop.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+const STOP_TIMEOUT: Duration = Duration::from_secs(10);
+/// Key shared by the gateways of a run, in test use only.
 const KEY: &str = "7a";
 
-/// One gateway, running or not.
+/// A gateway, running or not.
 pub struct Gateway {
     pub name: String,
     pub address: SocketAddr,
     pub peer: SocketAddr,
-    /// Where it takes what the council sends.
+    /// Address for consensus datagrams.
     pub council: SocketAddr,
     pub control: PathBuf,
     folder: PathBuf,
@@ -41,27 +41,27 @@
     pub folder: tempfile::TempDir,
     pub gateways: Vec<Gateway>,
     /// What was done to them.
-    acts: Mutex<Vec<Acted>>,
+    acts: Mutex<Vec<ActionRecord>>,
 }
 
-/// This machine's monotonic clock, in microseconds.
+/// The machine's monotonic clock in microseconds.
 pub fn mono() -> u64 {
     let now = nix::time::clock_gettime(nix::time::ClockId::CLOCK_MONOTONIC);
     now.map_or(0, |now| now.tv_sec() as u64 * 1_000_000 + now.tv_nsec() as u64 / 1_000)
 }
 
-/// Ports for gateways lie below those that the system hands out by itself: a gateway that is started anew must find
-/// its own free, though other rigs open sockets by the hundred meanwhile.
-const PORTS: std::ops::Range<u16> = 10_000..30_000;
-/// So many are taken at a time, behind the first one, which is held as long as the process lasts. Guards against
-/// another process's rig that takes a port whose gateway is down just then.
-const BLOCK: u16 = 200;
-static TAKEN: Mutex<(Vec<TcpListener>, std::ops::Range<u16>)> = Mutex::new((Vec::new(), 0..0));
+/// Ports for gateways lie below the system's ephemeral range: a restarted gateway must find its port free although
+/// others open hundreds of sockets meanwhile.
+const PORT_RANGE: std::ops::Range<u16> = 10_000..30_000;
+/// Ports are reserved in blocks behind the first one, which is bound for the lifetime of the process, so that another
+/// process does not take the port of a gateway that is down.
+const PORT_BLOCK: u16 = 200;
+static RESERVED_PORTS: Mutex<(Vec<TcpListener>, std::ops::Range<u16>)> = Mutex::new((Vec::new(), 0..0));
 
-/// A port that nobody uses now, by TCP and UDP.
-fn free() -> std::io::Result<SocketAddr> {
+/// A port that is free for TCP and UDP.
+fn free_address() -> std::io::Result<SocketAddr> {
     let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
-    let mut taken = TAKEN.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+    let mut taken = RESERVED_PORTS.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
     loop {
         if let Some(port) = taken.1.next() {
             if TcpListener::bind(at(port)).and_then(|_| UdpSocket::bind(at(port))).is_ok() {
@@ -69,31 +69,30 @@
             }
             continue;
         }
-        let first = PORTS
-            .step_by(usize::from(BLOCK))
+        let first = PORT_RANGE
+            .step_by(usize::from(PORT_BLOCK))
             .find_map(|port| Some((port, TcpListener::bind(at(port)).ok()?)));
         let (port, guard) = first.ok_or(std::io::ErrorKind::AddrInUse)?;
         taken.0.push(guard);
-        taken.1 = port + 1..port + BLOCK;
+        taken.1 = port + 1..port + PORT_BLOCK;
     }
 }
 
 impl Fleet {
-    /// Lays out folders, addresses and names; nothing runs yet.
+    /// Prepares folders, addresses and names; starts nothing.
     pub fn new(program: &Path, plan: &Plan) -> std::io::Result<Fleet> {
-        // In memory where there is such a folder: a disk that others keep busy takes a second to sync, and is no
-        // fault of the plan.
+        // In memory if possible: a busy disk may take a second to sync, which is not a fault of the plan.
         let memory = Path::new("/dev/shm");
         let folder = if memory.is_dir() { tempfile::tempdir_in(memory)? } else { tempfile::tempdir()? };
         let one = |number: usize| {
             let folder = folder.path().join(format!("n{number}"));
             std::fs::create_dir(&folder)?;
-            let peer = free()?;
+            let peer = free_address()?;
             Ok(Gateway {
                 name: format!("n{}", if plan.twins && number + 1 == plan.gateways { 0 } else { number }),
-                address: free()?,
+                address: free_address()?,
                 peer,
-                council: free()?,
+                council: free_address()?,
                 control: folder.join("control"),
                 folder,
                 child: None,
@@ -104,7 +103,7 @@
         Ok(Fleet { program: program.into(), folder, gateways, acts: Mutex::default() })
     }
 
-    /// Writes what each gateway reads at its start.
+    /// Writes the configuration files of each gateway.
     pub fn configure(
         &self,
         plan: &Plan,
@@ -144,20 +143,20 @@
         Ok(())
     }
 
-    fn acted(&self, who: usize, act: Act) {
+    fn acted(&self, who: usize, act: ProcessAction) {
         if let Ok(mut acts) = self.acts.lock() {
-            acts.push(Acted { at: mono(), who, act });
+            acts.push(ActionRecord { at: mono(), who, act });
         }
     }
 
     /// What was done to the gateways so far.
-    pub fn acts(&self) -> Vec<Acted> {
+    pub fn acts(&self) -> Vec<ActionRecord> {
         self.acts.lock().map_or(Vec::new(), |acts| acts.clone())
     }
 
-    /// Starts a gateway without waiting for it.
+    /// Starts a gateway without waiting.
     pub fn start(&mut self, number: usize) -> Result<(), String> {
-        self.acted(number, Act::Started);
+        self.acted(number, ProcessAction::Started);
         let gateway = &mut self.gateways[number];
         gateway.starts += 1;
         let said = |error: std::io::Error| format!("{}: {error}", gateway.name);
@@ -165,7 +164,7 @@
         let mut command = Command::new(&self.program);
         command.arg("serve").arg("--config").arg(gateway.folder.join("config.json"));
         command.arg("--settings").arg(gateway.folder.join("settings.ini")).stderr(Stdio::from(log));
-        // A group of its own: an interrupt at the terminal is the rig's to hand on.
+        // In its own process group, so that this program handles an interrupt at the terminal.
         std::os::unix::process::CommandExt::process_group(&mut command, 0);
         gateway.child = Some(command.spawn().map_err(said)?);
         Ok(())
@@ -179,34 +178,34 @@
             if client.is_ok_and(|mut client| client.ask("") == Reply::Empty) {
                 return Ok(());
             }
-            if began.elapsed() > STARTS_WITHIN {
+            if began.elapsed() > START_TIMEOUT {
                 return Err(format!("{} does not serve: {}", gateway.name, self.log(number).trim()));
             }
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// Where it keeps what it must not forget.
+    /// Folder of its store.
     pub fn disk(&self, number: usize) -> PathBuf {
         self.gateways[number].folder.join("council")
     }
 
-    /// What it reads at its start: configuration and settings.
+    /// Its configuration and settings files.
     pub fn files(&self, number: usize) -> [PathBuf; 2] {
         ["config.json", "settings.ini"].map(|name| self.gateways[number].folder.join(name))
     }
 
-    /// A gateway's log of all its lives.
+    /// A gateway's log over all its processes.
     pub fn log(&self, number: usize) -> String {
         std::fs::read_to_string(self.gateways[number].folder.join("log")).unwrap_or_default()
     }
 
-    /// Whether it was started and not ended by the rig.
+    /// Whether it was started and not ended by this program.
     pub fn is_there(&self, number: usize) -> bool {
         self.gateways[number].child.is_some()
     }
 
-    /// Whether it runs, or else how it ended without being told to.
+    /// Whether it runs, or else how it ended unexpectedly.
     pub fn runs(&mut self, number: usize) -> Result<bool, String> {
         let gateway = &mut self.gateways[number];
         let Some(child) = &mut gateway.child else { return Ok(false) };
@@ -223,7 +222,7 @@
         }
     }
 
-    /// Returns once it stands still.
+    /// Pauses a process; returns once it has stopped.
     pub fn pause(&self, number: usize) {
         self.signal(number, Signal::SIGSTOP);
         let stands = |id: u32| {
@@ -236,11 +235,11 @@
         {
             std::thread::sleep(Duration::from_micros(200));
         }
-        self.acted(number, Act::Paused);
+        self.acted(number, ProcessAction::Paused);
     }
 
     pub fn go_on(&self, number: usize) {
-        self.acted(number, Act::WentOn);
+        self.acted(number, ProcessAction::WentOn);
         self.signal(number, Signal::SIGCONT);
     }
 
@@ -248,17 +247,17 @@
         if let Some(mut child) = self.gateways[number].child.take() {
             let _ = child.kill();
             let _ = child.wait();
-            self.acted(number, Act::Killed);
+            self.acted(number, ProcessAction::Killed);
         }
     }
 
-    /// SIGTERM, without waiting for the end.
+    /// Sends SIGTERM without waiting for the end.
     pub fn stop(&self, number: usize) {
-        self.acted(number, Act::Stopped);
+        self.acted(number, ProcessAction::Stopped);
         self.signal(number, Signal::SIGTERM);
     }
 
-    /// Waits for the end of one that was told to stop.
+    /// Waits for the end of a process after SIGTERM.
     pub fn stopped(&mut self, number: usize) -> Result<(), String> {
         let Some(mut child) = self.gateways[number].child.take() else { return Ok(()) };
         let began = Instant::now();
@@ -266,7 +265,7 @@
             match child.try_wait() {
                 Ok(Some(status)) if status.success() => return Ok(()),
                 Ok(Some(status)) => return Err(format!("n{number} ended badly after SIGTERM: {status}")),
-                Ok(None) if began.elapsed() < STOPS_WITHIN => std::thread::sleep(Duration::from_millis(10)),
+                Ok(None) if began.elapsed() < STOP_TIMEOUT => std::thread::sleep(Duration::from_millis(10)),
                 _ => {
                     let _ = child.kill();
                     let _ = child.wait();
@@ -276,7 +275,7 @@
         }
     }
 
-    /// Says a word on a gateway's control socket.
+    /// Sends a request to a gateway's control socket.
     pub fn ask(&self, number: usize, word: &Json) -> Result<Json, String> {
         use std::io::{BufRead, BufReader, Write};
         let said = |error: std::io::Error| format!("n{number}: {error}");
@@ -298,7 +297,7 @@
     }
 }
 
-/// The deployment's settings as the stand-in store needs them.
+/// Settings of the deployment that match the stand-in store.
 fn settings(plan: &Plan, number: usize, zones: &[&str]) -> Json {
     json!({
         "balancers": plan.gateways, "me": number, "my_zone": zones[Plan::zone(number)], "localities": zones,
