--- a/crates/rig/src/ground.rs
+++ b/crates/rig/src/ground.rs
@@ -1,5 +1,5 @@
-//! Gateways with a council, played step by step: a test waits for what they say and then does something to them. The
-//! store keeps statements back where it is told to, so that a fault falls into the middle of an effect every time.
+//! Step-by-step scenarios of gateways with consensus: a test waits for log lines and then injects a fault. The store
+//! can hold statements, so that a fault reliably hits the middle of an effect.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -10,30 +10,30 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{Value as Json, json};
-use tansyjunction_standin::{Asked, Discovery, Load, Reply, Shape, Store, adds_up};
+use tansyjunction_standin::{Asked, Discovery, Load, Reply, Store, StoreConfig, check_ledger};
 
-use crate::duties::{Agreed, Effect, History, Kept, Line, lacking, read};
+use crate::duties::{Agreed, Effect, History, KnownDocuments, LogLine, missing_documents, read};
 use crate::fleet::{Fleet, mono};
 use crate::links::Links;
-use crate::plan::{Council, Plan, SHARDS, What};
-use crate::run::{play, way_of};
+use crate::plan::{Council, FaultKind, Plan, SHARDS};
+use crate::run::{link_state_under, play};
 
 const MEMBERS: usize = 3;
-/// No wait of a rig is longer: whoever waits for what never comes fails.
-const PATIENCE: Duration = Duration::from_secs(30);
-const LOOKS_EVERY: Duration = Duration::from_millis(4);
-/// Between two renewals at most, however long a lease is.
-const ATTENDS_EVERY_MS: u64 = 400;
-/// The list tells who leads so long after it is so.
-const LISTED_AFTER: Duration = Duration::from_millis(100);
-
-/// How a run stood in its end.
+/// Timeout of every wait.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(4);
+/// Longest renewal interval, however long the lease.
+const MAX_RENEW_INTERVAL_MS: u64 = 400;
+/// Delay of the server list after a change of primary.
+const LIST_DELAY: Duration = Duration::from_millis(100);
+
+/// Result of a scenario.
 #[derive(Debug)]
-pub struct Played {
-    /// What broke a rule; empty: nothing did.
+pub struct ScenarioResult {
+    /// Violated rules; empty if none.
     pub broken: Vec<String>,
     pub history: History,
-    /// Commands: all, those answered within their response target, throttled, failed, cut off with their gateway.
+    /// Numbers of commands: all, answered within the response target, throttled, failed, cut off with their gateway.
     pub asked: usize,
     pub in_time: usize,
     pub throttled: usize,
@@ -41,41 +41,41 @@
     pub cut_off: usize,
 }
 
-/// Gateways, a store, its list, and all ways between the gateways.
-pub struct Ground {
+/// Gateways, a store with its discovery, and all links between the gateways.
+pub struct Scenario {
     pub store: Arc<Store>,
     pub fleet: Fleet,
     pub plan: Plan,
     program: PathBuf,
-    /// Those of the fellows, and those of the council.
+    /// Links of the membership, and of the consensus.
     links: [Links; 2],
-    /// What befalls the ways now.
-    ways: Vec<What>,
-    _lister: Lister,
+    /// Current faults of the links.
+    ways: Vec<FaultKind>,
+    _lister: ListUpdater,
     load: Option<Load>,
     agreed: Vec<Agreed>,
     broken: Vec<String>,
-    /// How long it waits in the end until all is quiet.
+    /// Longest wait for a stable state at the end.
     pub patience: Duration,
-    /// Machine's clock at the store's start.
+    /// Monotonic clock at the store's start.
     zero: u64,
 }
 
-/// Has the list follow the store, as its own tools would.
-struct Lister {
+/// Updates the server list after changes in the store.
+struct ListUpdater {
     over: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Lister {
-    fn start(store: Arc<Store>, discovery: Discovery) -> Lister {
+impl ListUpdater {
+    fn start(store: Arc<Store>, discovery: Discovery) -> ListUpdater {
         let over = Arc::new(AtomicBool::new(false));
         let ends = over.clone();
         let thread = std::thread::spawn(move || {
             let mut told: Vec<Option<usize>> = (0..SHARDS).map(|shard| Some(shard * MEMBERS)).collect();
             while !ends.load(Ordering::SeqCst) {
                 let leads: Vec<_> = (0..SHARDS).map(|shard| store.leader(shard)).collect();
-                std::thread::sleep(LISTED_AFTER);
+                std::thread::sleep(LIST_DELAY);
                 for (shard, leads) in leads.into_iter().enumerate() {
                     if let Some(server) = leads.filter(|_| leads != told[shard]) {
                         discovery.leads(server, MEMBERS);
@@ -84,11 +84,11 @@
                 }
             }
         });
-        Lister { over, thread: Some(thread) }
+        ListUpdater { over, thread: Some(thread) }
     }
 }
 
-impl Drop for Lister {
+impl Drop for ListUpdater {
     fn drop(&mut self) {
         self.over.store(true, Ordering::SeqCst);
         if let Some(thread) = self.thread.take() {
@@ -97,12 +97,14 @@
     }
 }
 
-impl Ground {
-    /// Starts all, founds the council at the first seat, and waits until all seats sit and all gateways attend.
-    pub fn start(program: &Path, plan: &Plan) -> Result<Ground, String> {
+impl Scenario {
+    /// Starts everything, creates the cluster at the first member, and waits until all members vote and all gateways
+    /// attend.
+    pub fn start(program: &Path, plan: &Plan) -> Result<Scenario, String> {
         let said = |error: std::io::Error| error.to_string();
         let council = plan.council.clone().ok_or("the plan has no council")?;
-        let shape = Shape { shards: SHARDS, members: MEMBERS, seed: plan.seed, ..Shape::default() };
+        let shape =
+            StoreConfig { shards: SHARDS, members: MEMBERS, seed: plan.seed, ..StoreConfig::default() };
         let store = Arc::new(Store::start(shape).map_err(said)?);
         let zero = mono() - store.age().as_micros() as u64;
         let discovery = Discovery::start(&store).map_err(said)?;
@@ -115,8 +117,8 @@
         ];
         let settings = |number| settings(&fleet, &links[1], &council, number);
         fleet.configure(plan, &links[0], discovery.address, settings).map_err(said)?;
-        let mut ground = Ground {
-            _lister: Lister::start(store.clone(), discovery),
+        let mut ground = Scenario {
+            _lister: ListUpdater::start(store.clone(), discovery),
             store,
             fleet,
             plan: plan.clone(),
@@ -126,40 +128,39 @@
             load: None,
             agreed: Vec::new(),
             broken: Vec::new(),
-            patience: PATIENCE,
+            patience: WAIT_TIMEOUT,
             zero,
         };
         ground.found(0)?;
         let all: Vec<usize> = (0..plan.gateways).collect();
         ground.start_all(&all)?;
-        ground.until("all seats sit and all gateways attend", |ground| ground.whole())?;
+        ground.until("all seats sit and all gateways attend", |ground| ground.is_complete())?;
         Ok(ground)
     }
 
-    /// Founds the council at a seat.
+    /// Creates the cluster at a member.
     pub fn found(&self, number: usize) -> Result<(), String> {
         let files = self.fleet.files(number).map(|path| path.display().to_string());
         run(&self.program, &["council", "found", "--config", &files[0], "--settings", &files[1]]).map(drop)
     }
 
-    /// An operator's words to a gateway, by the command line.
-    pub fn say(&self, number: usize, words: &[&str]) -> Result<String, String> {
+    /// Runs a council sub-command against a gateway.
+    pub fn run_command(&self, number: usize, words: &[&str]) -> Result<String, String> {
         say(&self.program, &self.fleet, number, words)
     }
 
-    /// What a gateway says of the council.
+    /// Consensus status of a gateway.
     pub fn status(&self, number: usize) -> Result<Json, String> {
         self.fleet.ask(number, &json!({"do": "council", "what": "status"}))
     }
 
-    /// Announces a change of a shard's primary at a gateway.
+    /// Plans a change of a shard's primary at a gateway.
     pub fn announce(&mut self, number: usize, shard: usize, to: usize) -> Result<(), String> {
         let (shard_named, to) = (shard.to_string(), Store::name(to));
         let words = ["plan", &shard_named, "--to", &to];
-        // What was not decided in time may still be decided: an operator says it again, and is told of what is under
-        // way.
+        // A request that timed out may still be decided: an operator repeats it, and is told of the change in progress.
         let said = loop {
-            match self.say(number, &words) {
+            match self.run_command(number, &words) {
                 Err(message)
                     if message.contains("not decided in time") && self.step(number, shard).is_none() => {}
                 Err(message) if message.contains("not decided in time") => return Ok(()),
@@ -172,7 +173,7 @@
         Ok(())
     }
 
-    /// Proposes a document at a gateway: the version that it was told, or that it is not agreed, as far as is known.
+    /// Proposes a document at a gateway; returns its version, or the error.
     pub fn propose(&mut self, number: usize, name: &str, expected: u64, body: &Json) -> Result<u64, String> {
         let body = body.to_string();
         let word =
@@ -187,16 +188,16 @@
         }
     }
 
-    /// Proposes a document at a gateway until it is agreed: what was not decided in time is said again, and one that
-    /// finds the version that it asked for was decided after all.
+    /// Proposes a document at a gateway until it is agreed: repeats after timeouts; finding the requested version
+    /// means that an earlier attempt was decided.
     pub fn agree(&mut self, number: usize, name: &str, expected: u64, body: &Json) -> Result<u64, String> {
         let began = Instant::now();
         loop {
             match self.propose(number, name, expected, body) {
-                Err(message) if began.elapsed() > PATIENCE => return Err(message),
+                Err(message) if began.elapsed() > WAIT_TIMEOUT => return Err(message),
                 Err(message) if message.contains("not decided in time") => {}
-                Err(message) if message.contains("has not heard the agreed documents yet") => {
-                    std::thread::sleep(LOOKS_EVERY);
+                Err(message) if message.contains("has not received the agreed documents yet") => {
+                    std::thread::sleep(POLL_INTERVAL);
                 }
                 Err(_) if self.version(number, name) == Some(expected + 1) => {
                     self.agreed.push(Agreed { name: name.into(), version: expected + 1 });
@@ -207,68 +208,68 @@
         }
     }
 
-    /// So many clients at each gateway send payments from now on.
+    /// Starts this many clients per gateway that send payments.
     pub fn load(&mut self, clients: usize) {
         let addresses: Vec<_> = self.fleet.gateways.iter().map(|gateway| gateway.address).collect();
         self.load = Some(Load::start(&addresses, clients, SHARDS, Duration::from_millis(40)));
     }
 
-    // What is done to them.
+    // Faults.
 
-    /// From now on this befalls the ways, until [`Ground::heal`].
-    pub fn befall(&mut self, what: What) {
+    /// Applies a fault to the links until [`Scenario::heal`].
+    pub fn apply_link_fault(&mut self, what: FaultKind) {
         self.ways.push(what);
-        self.set_ways();
+        self.update_links();
     }
 
     pub fn heal(&mut self) {
         self.ways.clear();
-        self.set_ways();
+        self.update_links();
     }
 
-    fn set_ways(&self) {
-        let ways: Vec<&What> = self.ways.iter().collect();
-        self.links.iter().for_each(|links| links.set(|from, to| way_of(&ways, from, to)));
+    fn update_links(&self) {
+        let ways: Vec<&FaultKind> = self.ways.iter().collect();
+        self.links.iter().for_each(|links| links.set(|from, to| link_state_under(&ways, from, to)));
     }
 
-    /// Nothing that a gateway sends to others arrives.
-    pub fn mute(&mut self, who: usize) {
+    /// Drops everything that a gateway sends to others.
+    pub fn drop_outgoing(&mut self, who: usize) {
         let to = self.others(who);
-        self.befall(What::Cut { from: vec![who], to });
+        self.apply_link_fault(FaultKind::Cut { from: vec![who], to });
     }
 
-    /// Nothing that others send to a gateway arrives.
-    pub fn deafen(&mut self, who: usize) {
+    /// Drops everything that others send to a gateway.
+    pub fn drop_incoming(&mut self, who: usize) {
         let from = self.others(who);
-        self.befall(What::Cut { from, to: vec![who] });
+        self.apply_link_fault(FaultKind::Cut { from, to: vec![who] });
     }
 
     pub fn others(&self, who: usize) -> Vec<usize> {
         (0..self.plan.gateways).filter(|other| *other != who).collect()
     }
 
-    /// Starts some and waits until they serve.
+    /// Starts gateways and waits until they serve.
     pub fn start_all(&mut self, who: &[usize]) -> Result<(), String> {
         who.iter().try_for_each(|number| self.fleet.start(*number))?;
         who.iter().try_for_each(|number| self.fleet.serves(*number))
     }
 
-    /// A gateway that is down has no disk any more.
+    /// Removes the store of a gateway that is down.
     pub fn lose_disk(&self, number: usize) -> Result<(), String> {
         lose_disk(&self.fleet, number)
     }
 
-    /// Keeps a copy of a gateway's disk; it must be down, or paused.
+    /// Copies a gateway's store; it must be down or paused.
     pub fn keep_disk(&self, number: usize) -> Result<(), String> {
         keep_disk(&self.fleet, number)
     }
 
-    /// A gateway that is down finds the disk that was kept in place of its own.
+    /// Replaces the store of a gateway that is down by the copy.
     pub fn old_disk(&self, number: usize) -> Result<(), String> {
         put_disk(&self.fleet, number)
     }
 
-    /// Plays the faults of the plan. An operator's change that is refused, since another is under way, is none.
+    /// Executes the faults of the plan. A refused change, because another one is in progress, is no error.
     pub fn play(&mut self) -> Result<(), String> {
         for number in 0..self.seats() {
             self.fleet.pause(number);
@@ -287,8 +288,7 @@
         Ok(())
     }
 
-    /// Does at seats that have stopped what they say that an operator should do: the store is set aside, and the seat
-    /// begins anew.
+    /// Does what stopped members tell an operator to do: moves the store aside and restarts them.
     pub fn remedy(&mut self) -> Result<(), String> {
         for seat in 0..self.seats() {
             if self.status(seat).is_ok_and(|status| !status["fault"].is_null()) {
@@ -300,45 +300,45 @@
         Ok(())
     }
 
-    // What they say.
+    // Observations.
 
-    pub fn lines(&self) -> Vec<Line> {
+    pub fn lines(&self) -> Vec<LogLine> {
         let all = (0..self.plan.gateways).flat_map(|number| read(number, &self.fleet.log(number)));
-        let mut lines: Vec<Line> = all.collect();
+        let mut lines: Vec<LogLine> = all.collect();
         lines.sort_by_key(|line| line.at);
         lines
     }
 
-    /// The version of a document at a gateway; 0: it has none.
+    /// Version of a document at a gateway; 0 if missing.
     pub fn version(&self, number: usize, name: &str) -> Option<u64> {
         Some(versions(&self.status(number).ok()?).get(name).copied().unwrap_or(0))
     }
 
-    /// How many payments were answered so far.
+    /// Number of payments answered so far.
     pub fn served(&self) -> usize {
         let asked = self.load.as_ref().map_or(Vec::new(), Load::asked);
         asked.iter().filter(|one| matches!(one.reply, Reply::Value(_))).count()
     }
 
-    /// The step of a shard's change of primary at a gateway.
+    /// Step of a shard's change of primary at a gateway.
     pub fn step(&self, number: usize, shard: usize) -> Option<String> {
         let status = self.status(number).ok()?;
         let plan = status["plans"].as_array()?.iter().find(|plan| plan["shard"] == shard)?;
         plan["step"].as_str().map(String::from)
     }
 
-    /// Who was granted a duty last, and under which epoch.
+    /// Last holder of a duty, with the epoch.
     pub fn holder(&self, duty: &str) -> Option<(usize, u64)> {
         let lines = self.lines().into_iter().filter(|line| line.what == "granted" && line.duty == duty);
         lines.max_by_key(|line| line.epoch).map(|line| (line.by, line.epoch))
     }
 
-    /// Who of the council leads by its own word, in the highest term.
+    /// The leader by its own status, in the highest term.
     pub fn leader(&self) -> Option<usize> {
         self.leader_but(None)
     }
 
-    /// The same, of all but this one, which is not asked.
+    /// The same without asking one gateway.
     pub fn leader_but(&self, but: Option<usize>) -> Option<usize> {
         let leads = |number: &usize| {
             let status = self.status(*number).ok()?;
@@ -352,24 +352,24 @@
         self.plan.council.as_ref().map_or(0, |council| council.seats)
     }
 
-    /// Waits until something is so.
-    pub fn until<T>(&self, what: &str, mut so: impl FnMut(&Ground) -> Option<T>) -> Result<T, String> {
+    /// Waits until a condition holds.
+    pub fn until<T>(&self, what: &str, mut so: impl FnMut(&Scenario) -> Option<T>) -> Result<T, String> {
         let began = Instant::now();
         loop {
             if let Some(found) = so(self) {
                 return Ok(found);
             }
-            if began.elapsed() > PATIENCE {
-                return Err(format!("{what}: not within {PATIENCE:?}\n{}", self.told()));
+            if began.elapsed() > WAIT_TIMEOUT {
+                return Err(format!("{what}: not within {WAIT_TIMEOUT:?}\n{}", self.describe()));
             }
-            std::thread::sleep(LOOKS_EVERY);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// All that was said of the council, and how each stands, for a test that failed.
-    pub fn told(&self) -> String {
+    /// All log lines of the consensus and every gateway's status, for a failed test.
+    pub fn describe(&self) -> String {
         let zero = self.zero;
-        let line = |line: &Line| {
+        let line = |line: &LogLine| {
             format!("{:>9.3} n{} {}\n", (line.at.saturating_sub(zero)) as f64 / 1e3, line.by, line.all)
         };
         let mut text: String = self.lines().iter().map(line).collect();
@@ -387,8 +387,8 @@
         text + &format!("{:?}\n{:?}", self.store.ordered(), self.fleet.acts())
     }
 
-    /// All seats vote, and all gateways attend and have the same documents.
-    fn whole(&self) -> Option<()> {
+    /// Whether all members vote, and all gateways attend with the same documents.
+    fn is_complete(&self) -> Option<()> {
         let all: Vec<Json> =
             (0..self.plan.gateways).map(|number| self.status(number)).collect::<Result<_, _>>().ok()?;
         let leads = all.iter().filter(|status| status["role"] == "leader").count() == 1;
@@ -410,19 +410,19 @@
         (leads && seats && attend && same("plans") && same("documents")).then_some(())
     }
 
-    /// No plan is under way and no duty is open, each gateway has all that was acknowledged, and sends a shard's
-    /// writes where the store takes them.
-    fn quiet(&self) -> Option<()> {
-        self.whole()?;
-        // Guards against a verdict on a follower that is a beat behind: it hears of a document after whoever proposed
-        // it. The same in all is not enough, for all may lack what was never kept.
+    /// Whether no plan is in progress and no duty open, and each gateway has all acknowledged documents and sends
+    /// writes to the actual primary.
+    fn is_stable(&self) -> Option<()> {
+        self.is_complete()?;
+        // Followers receive documents later than their proposers. Equal documents everywhere are not enough, since
+        // all may lack one that was lost.
         let kept = self.kept();
-        if kept.len() < self.plan.gateways || !lacking(&self.agreed, &kept).is_empty() {
+        if kept.len() < self.plan.gateways || !missing_documents(&self.agreed, &kept).is_empty() {
             return None;
         }
         for number in 0..self.plan.gateways {
             let status = self.status(number).ok()?;
-            // A scout's duty is for good.
+            // Probing duties are permanent.
             let scouts = |duty: &Json| duty["name"].as_str().is_some_and(|name| name.starts_with("scout/"));
             if !status["duties"].as_array().is_some_and(|duties| duties.iter().all(scouts)) {
                 return None;
@@ -431,7 +431,7 @@
             for shard in shards["shards"].as_array()? {
                 let place: usize = shard["shard"].as_str()?.parse().ok()?;
                 let leads = self.store.leader(place).map(Store::name);
-                // One without commands may learn who leads by its first write, as ever.
+                // A gateway without commands may learn of the primary by its first write.
                 let knows = self.load.is_none() || shard["primary"].as_str() == leads.as_deref();
                 if shard["phase"] != "steady" || shard["held"] != 0 || !knows {
                     return None;
@@ -441,23 +441,23 @@
         Some(())
     }
 
-    /// Undoes all faults, waits until all is quiet, and judges.
-    pub fn finish(mut self) -> Result<Played, String> {
+    /// Ends all faults, waits for a stable state, and checks the rules.
+    pub fn finish(mut self) -> Result<ScenarioResult, String> {
         self.heal();
-        self.store.let_switches_go();
+        self.store.release_switches();
         self.store.slow(Duration::ZERO);
         (0..self.plan.gateways).for_each(|number| self.fleet.go_on(number));
         let down: Vec<usize> = (0..self.plan.gateways).filter(|n| !self.fleet.is_there(*n)).collect();
         self.start_all(&down)?;
         let began = Instant::now();
-        while self.quiet().is_none() {
+        while self.is_stable().is_none() {
             if began.elapsed() > self.patience {
-                let (patience, told) = (self.patience, self.told());
+                let (patience, told) = (self.patience, self.describe());
                 self.broken.push(format!("not quiet in the end, after {patience:?}\n{told}"));
                 break;
             }
             self.remedy()?;
-            std::thread::sleep(LOOKS_EVERY);
+            std::thread::sleep(POLL_INTERVAL);
         }
         for number in 0..self.plan.gateways {
             self.broken.extend(self.fleet.runs(number).err());
@@ -470,7 +470,7 @@
         let ended = |one: &&Asked| one.reply == Reply::Ended;
         let cut_off = asked.iter().filter(ended).count();
         let rest: Vec<Asked> = asked.iter().filter(|one| !ended(one)).cloned().collect();
-        let sum = adds_up(&self.store, &rest).unwrap_or_else(|message| {
+        let sum = check_ledger(&self.store, &rest).unwrap_or_else(|message| {
             self.broken.push(message);
             Default::default()
         });
@@ -478,8 +478,8 @@
             |one: &&Asked| matches!(one.reply, Reply::Value(_)) && one.took <= Duration::from_secs(1);
         let mut history = self.history();
         history.sort();
-        self.broken.extend(history.broken());
-        Ok(Played {
+        self.broken.extend(history.violations());
+        Ok(ScenarioResult {
             broken: self.broken,
             history,
             asked: asked.len(),
@@ -490,8 +490,8 @@
         })
     }
 
-    /// The documents of each gateway that answers.
-    fn kept(&self) -> Kept {
+    /// Documents of each gateway that answers.
+    fn kept(&self) -> KnownDocuments {
         let answers = |number| Some((number, versions(&self.status(number).ok()?)));
         (0..self.plan.gateways).filter_map(answers).collect()
     }
@@ -502,7 +502,7 @@
             shard: one.shard,
             epoch: one.epoch,
             came: at(one.came),
-            done: one.ended.filter(|_| one.end == tansyjunction_standin::End::Done).map(at),
+            done: one.ended.filter(|_| one.end == tansyjunction_standin::SwitchResult::Done).map(at),
         });
         History {
             lines: self.lines(),
@@ -515,14 +515,14 @@
     }
 }
 
-/// The documents that a gateway says that it has.
+/// Documents in a gateway's status, with versions.
 fn versions(status: &Json) -> BTreeMap<String, u64> {
     let all = status["documents"].as_array().cloned().unwrap_or_default();
     let version = |document: &Json| Some((document["name"].as_str()?.into(), document["version"].as_u64()?));
     all.iter().filter_map(version).collect()
 }
 
-/// The program with these words: what it printed, or what it complained of.
+/// Runs the program with arguments; returns its output or error.
 fn run(program: &Path, args: &[&str]) -> Result<String, String> {
     let out = Command::new(program).args(args).output().map_err(|error| error.to_string())?;
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
@@ -583,7 +583,7 @@
         fleet.folder.path().join("key").display(),
         names.join(", "),
         council.lease_ms,
-        (council.lease_ms / 5).min(ATTENDS_EVERY_MS),
+        (council.lease_ms / 5).min(MAX_RENEW_INTERVAL_MS),
         council.stall_ms,
         council.beat_ms,
         council.beat_ms * 10,
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,8 +1,8 @@
-//! Many processes of the program on loopback, three zones in two regions, with a store, discovery and clients, and
-//! faults between any two of them: delay, loss, doubles, cuts in each direction, kills, pauses, planned stops.
+//! Fault injection with many processes of the program on loopback, in three zones and two regions, with a store,
+//! discovery and clients: delays, loss, duplicates, partitions per direction, kills, pauses and planned stops.
 //!
-//! [`Plan`] says what happens, [`run`] plays it, [`judge`] tells from all logs what broke a rule. A plan is a file; the
-//! same seed draws the same one, and a failing one is shrunk by [`Plan::shrunk`].
+//! [`Plan`] describes what happens, [`run`] executes it, and [`judge`] finds violated rules in the logs. Plans are
+//! files; a seed always gives the same plan, and failing ones are minimized by [`Plan::shrunk`].
 
 pub mod duties;
 mod fleet;
@@ -14,6 +14,6 @@
 mod run;
 
 pub use fleet::mono;
-pub use ground::{Ground, Played};
-pub use plan::{Council, Fault, Plan, What, ZONES};
-pub use run::{Outcome, Sight, run, run_when};
+pub use ground::{Scenario, ScenarioResult};
+pub use plan::{Council, Fault, FaultKind, Plan, ZONES};
+pub use run::{Outcome, StepCondition, run, run_when};
--- a/crates/rig/src/links.rs
+++ b/crates/rig/src/links.rs
@@ -1,5 +1,5 @@
-//! The ways between gateways: a socket for each pair stands for the one to the other, and what passes it is cut, lost,
-//! doubled and delayed in each direction by itself.
+//! Links between gateways: one UDP socket per pair forwards datagrams, with partitions, loss, duplicates and delays per
+//! direction.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -12,9 +12,9 @@
 use fastrand::Rng;
 use polling::{Event, Events, Poller};
 
-/// How a way is in one direction.
+/// State of a link in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Way {
+pub struct LinkState {
     pub cut: bool,
     pub lost: f64,
     pub doubled: f64,
@@ -23,13 +23,13 @@
 
 struct Shared {
     /// By sender, then receiver.
-    ways: Mutex<Vec<Vec<Way>>>,
+    ways: Mutex<Vec<Vec<LinkState>>>,
     over: AtomicBool,
     passed: AtomicU64,
     dropped: AtomicU64,
 }
 
-/// All ways between so many gateways.
+/// All links between the gateways.
 pub struct Links {
     shared: Arc<Shared>,
     addresses: Vec<Vec<SocketAddr>>,
@@ -37,7 +37,7 @@
 }
 
 impl Links {
-    /// `real`: where each gateway takes datagrams.
+    /// `real`: the datagram addresses of the gateways.
     pub fn start(real: Vec<SocketAddr>, seed: u64) -> std::io::Result<Links> {
         let count = real.len();
         let mut sockets = Vec::new();
@@ -48,13 +48,13 @@
                 let socket = UdpSocket::bind("127.0.0.1:0")?;
                 socket.set_nonblocking(true)?;
                 from.push(socket.local_addr()?);
-                // Safety: the sockets live in the thread below, as long as the poller does.
+                // SAFETY: the sockets live in the thread below for as long as the poller.
                 unsafe { poller.add(&socket, Event::readable(sockets.len()))? };
                 sockets.push(socket);
             }
         }
         let shared = Shared {
-            ways: Mutex::new(vec![vec![Way::default(); count]; count]),
+            ways: Mutex::new(vec![vec![LinkState::default(); count]; count]),
             over: AtomicBool::new(false),
             passed: AtomicU64::new(0),
             dropped: AtomicU64::new(0),
@@ -62,18 +62,18 @@
         let shared = Arc::new(shared);
         let thread = Some(std::thread::spawn({
             let shared = shared.clone();
-            move || carry(&shared, &poller, &sockets, &real, Rng::with_seed(seed))
+            move || forward(&shared, &poller, &sockets, &real, Rng::with_seed(seed))
         }));
         Ok(Links { shared, addresses, thread })
     }
 
-    /// Where `from` has to send what is for `to`.
+    /// Address to which `from` sends datagrams for `to`.
     pub fn address(&self, from: usize, to: usize) -> SocketAddr {
         self.addresses[from][to]
     }
 
-    /// From now on the ways are as `way` says for each sender and receiver.
-    pub fn set(&self, way: impl Fn(usize, usize) -> Way) {
+    /// Sets the state of all links.
+    pub fn set(&self, way: impl Fn(usize, usize) -> LinkState) {
         let Ok(mut ways) = self.shared.ways.lock() else { return };
         for (from, row) in ways.iter_mut().enumerate() {
             for (to, one) in row.iter_mut().enumerate() {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Datagrams that passed, and that were dropped.
+    /// Numbers of forwarded and of dropped datagrams.
     pub fn counts(&self) -> (u64, u64) {
         (self.shared.passed.load(Ordering::Relaxed), self.shared.dropped.load(Ordering::Relaxed))
     }
@@ -97,10 +97,10 @@
     }
 }
 
-/// A datagram on its way: when it comes, in which order it was sent, the way back, and its bytes.
+/// A datagram in transit: arrival time, sequence, reverse link, content.
 type Waiting = (Instant, u64, usize, Vec<u8>);
 
-fn carry(shared: &Shared, poller: &Poller, sockets: &[UdpSocket], real: &[SocketAddr], mut rng: Rng) {
+fn forward(shared: &Shared, poller: &Poller, sockets: &[UdpSocket], real: &[SocketAddr], mut rng: Rng) {
     let count = real.len();
     let mut events = Events::new();
     let mut waiting: BinaryHeap<Reverse<Waiting>> = BinaryHeap::new();
@@ -111,7 +111,7 @@
             && *at <= now
             && let Some(Reverse((_, _, way, bytes))) = waiting.pop()
         {
-            // A receiver that is not there hears nothing, as in life.
+            // Datagrams to a receiver that is down are lost.
             let _ = sockets[way].send_to(&bytes, real[way / count]);
         }
         let next =
@@ -123,7 +123,7 @@
         for event in events.iter() {
             let (from, to) = (event.key / count, event.key % count);
             while let Ok((length, _)) = sockets[event.key].recv_from(&mut bytes) {
-                let way = shared.ways.lock().map_or(Way::default(), |ways| ways[from][to]);
+                let way = shared.ways.lock().map_or(LinkState::default(), |ways| ways[from][to]);
                 if way.cut || rng.f64() < way.lost {
                     shared.dropped.fetch_add(1, Ordering::Relaxed);
                     continue;
@@ -133,7 +133,7 @@
                 for _ in 0..copies {
                     number += 1;
                     let at = Instant::now() + way.delay.mul_f64(rng.f64());
-                    // Sent from the socket of the way back: who answers to where it came from takes that way.
+                    // Sent from the reverse link's socket, so that replies to the source address use that link.
                     waiting.push(Reverse((at, number, to * count + from, bytes[..length].to_vec())));
                 }
             }
--- a/crates/rig/src/page.rs
+++ b/crates/rig/src/page.rs
@@ -1,9 +1,9 @@
-//! A run as a page: faults, what gateways told of each other, and service, on one axis of time.
+//! Report of a run as a page: faults, membership events and service on a common time axis.
 
 use minijinja::{Environment, context};
 use plotters::prelude::*;
 
-use crate::plan::{Plan, What};
+use crate::plan::{FaultKind, Plan};
 use crate::run::Outcome;
 
 const PAGE: &str = r#"<!doctype html>
@@ -26,12 +26,12 @@
 </body></html>
 "#;
 
-/// The page, as HTML with the plot within it.
+/// Renders the HTML page with the embedded plot.
 pub fn html(outcome: &Outcome) -> Result<String, String> {
     let plan = &outcome.plan;
     let mut env = Environment::new();
     env.add_template("page.html", PAGE).map_err(|error| error.to_string())?;
-    let words = |what: &What| serde_json::to_string(what).unwrap_or_default();
+    let words = |what: &FaultKind| serde_json::to_string(what).unwrap_or_default();
     let faults: Vec<_> =
         plan.faults.iter().map(|fault| (fault.at_ms, fault.for_ms, words(&fault.what))).collect();
     let page = env.get_template("page.html").map_err(|error| error.to_string())?;
@@ -47,7 +47,7 @@
     page.render(values).map_err(|error| error.to_string())
 }
 
-/// Bars by gateway, marks of what was told, and service.
+/// Plot with bars per gateway, marks for events, and service.
 fn plot(outcome: &Outcome) -> Result<String, String> {
     let plan = &outcome.plan;
     let last = outcome.history.iter().map(|told| told.at_ms).max().unwrap_or(0).max(plan.ends() as i64) + 500;
@@ -80,12 +80,12 @@
         .draw()?;
     for fault in &plan.faults {
         let colour = match fault.what {
-            What::Pause { .. } => RGBColor(80, 120, 220),
-            What::Cut { .. } | What::Bad { .. } => RGBColor(240, 160, 60),
+            FaultKind::Pause { .. } => RGBColor(80, 120, 220),
+            FaultKind::Cut { .. } | FaultKind::Bad { .. } => RGBColor(240, 160, 60),
             _ => RGBColor(150, 150, 150),
         };
         let (from, to) = (fault.at_ms as f64 / 1e3, fault.ends() as f64 / 1e3);
-        let bars = fault.befalls(plan.gateways).into_iter().map(|who| {
+        let bars = fault.affected(plan.gateways).into_iter().map(|who| {
             let y = who as f64;
             Rectangle::new([(from, y - 0.4), (to, y + 0.4)], colour.mix(0.6).filled())
         });
--- a/crates/rig/src/plan.rs
+++ b/crates/rig/src/plan.rs
@@ -1,83 +1,86 @@
-//! What is done to a fleet, and when: written down, drawn from a seed, or made smaller.
+//! Plans of faults: stored in files, generated from a seed, minimized.
 
 use std::collections::BTreeSet;
 
 use fastrand::Rng;
 use serde::{Deserialize, Serialize};
 
-/// Zones of the rig, and the region of each.
+/// Zones, and the region of each.
 pub const ZONES: [(&str, &str); 3] = [("a", "near"), ("b", "near"), ("c", "far")];
 
-/// Most processes of a run: each way between two takes a descriptor.
-pub const GATEWAYS_MOST: usize = 100;
+/// Most gateways: each link needs a descriptor.
+pub const MAX_GATEWAYS: usize = 100;
 
-/// Shards of the rig's store.
+/// Shards of the store.
 pub const SHARDS: usize = 2;
 
-/// What befalls gateways, by their numbers, or the ways between them.
+/// Kinds of faults of gateways (by number) or of the links between them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "what")]
-pub enum What {
-    /// Nothing passes from these to those; the other direction stays.
+pub enum FaultKind {
+    /// Partition in one direction; the reverse direction works.
     Cut { from: Vec<usize>, to: Vec<usize> },
-    /// A part is lost, a part doubled, and each takes up to `delay_ms` longer, so that some overtake others.
+    /// Loss, duplication, and a random delay of up to `delay_ms`, which reorders datagrams.
     Bad { from: Vec<usize>, to: Vec<usize>, lost: f64, doubled: f64, delay_ms: u64 },
-    /// Killed outright; started again at the end, without what it knew.
+    /// Killed; restarted at the end without state.
     Kill { who: Vec<usize> },
-    /// Told to stop by SIGTERM; started again at the end.
+    /// Stopped by SIGTERM; restarted at the end.
     Stop { who: Vec<usize> },
-    /// Stands still, by SIGSTOP and SIGCONT.
+    /// Paused by SIGSTOP until SIGCONT.
     Pause { who: Vec<usize> },
-    /// The primary of a shard of the store dies and a replica takes over after `after_ms`; the list tells of it at the
-    /// end, when the old one is back as a replica.
+    /// The primary of a shard of the store dies and a replica takes over after `after_ms`; the server list shows it
+    /// at the end, when the old one is back as a replica.
     Elect { shard: usize, after_ms: u64 },
-    /// Killed; started again at the end without its disk.
+    /// Killed; restarted at the end without its store.
     LoseDisk { who: Vec<usize> },
-    /// Killed; started again at the end with its disk as it was when the plan began.
+    /// Killed; restarted at the end with its store as it was when the plan began.
     OldDisk { who: Vec<usize> },
-    /// All answers of the store take so much longer.
+    /// All answers of the store are delayed.
     SlowStore { by_ms: u64 },
-    /// No fault: an operator announces a change of the shard's primary to a replica.
+    /// Not a fault: an operator plans a change of the shard's primary to a replica.
     Change { shard: usize },
 }
 
-impl What {
-    /// Who is killed by it.
+impl FaultKind {
+    /// Gateways that it kills.
     pub fn kills(&self) -> &[usize] {
         match self {
-            What::Kill { who } | What::LoseDisk { who } | What::OldDisk { who } => who,
+            FaultKind::Kill { who } | FaultKind::LoseDisk { who } | FaultKind::OldDisk { who } => who,
             _ => &[],
         }
     }
 }
 
-/// One fault, from a moment on and for a while. Milliseconds since all gateways knew each other.
+/// A fault with its start and duration in milliseconds since all gateways knew each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fault {
     pub at_ms: u64,
     pub for_ms: u64,
     #[serde(flatten)]
-    pub what: What,
+    pub what: FaultKind,
 }
 
 impl Fault {
+    /// End of the fault in milliseconds.
     pub fn ends(&self) -> u64 {
         self.at_ms + self.for_ms
     }
 
-    /// The gateways that it may keep from hearing, being heard or answering.
+    /// Gateways whose messages it may affect.
     pub fn touches(&self) -> BTreeSet<usize> {
         match &self.what {
-            What::Cut { from, to } | What::Bad { from, to, .. } => from.iter().chain(to).copied().collect(),
-            What::Stop { who } | What::Pause { who } => who.iter().copied().collect(),
+            FaultKind::Cut { from, to } | FaultKind::Bad { from, to, .. } => {
+                from.iter().chain(to).copied().collect()
+            }
+            FaultKind::Stop { who } | FaultKind::Pause { who } => who.iter().copied().collect(),
             other => other.kills().iter().copied().collect(),
         }
     }
 
-    /// The gateways to which it is their own trouble: of the two sides of a way, the smaller.
-    pub fn befalls(&self, gateways: usize) -> BTreeSet<usize> {
+    /// Gateways that are themselves affected: of the two sides of a link, the smaller one.
+    pub fn affected(&self, gateways: usize) -> BTreeSet<usize> {
         match &self.what {
-            What::Cut { from, to } | What::Bad { from, to, .. } => {
+            FaultKind::Cut { from, to } | FaultKind::Bad { from, to, .. } => {
                 let side = if from.len() <= to.len() { from } else { to };
                 if side.len() * 2 > gateways { self.touches() } else { side.iter().copied().collect() }
             }
@@ -86,11 +89,11 @@
     }
 }
 
-/// The council of a run, and its times.
+/// Consensus settings of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Council {
-    /// The first so many gateways sit.
+    /// Number of voting members; the first gateways.
     pub seats: usize,
     pub lease_ms: u64,
     pub stall_ms: u64,
@@ -98,14 +101,14 @@
     pub drain_ms: u64,
     pub effect_ms: u64,
     pub step_ms: u64,
-    /// One gateway per group probes for all; how old its word may be. None: each probes by itself.
+    /// Shared probing with this maximum age of results; `None`: each gateway probes by itself.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub scout_word_ms: Option<u64>,
 }
 
 impl Default for Council {
     fn default() -> Self {
-        // A lease that is short beside a test, and long beside what a busy machine takes to wake a process.
+        // A lease that is short for a test, and long compared with the wake-up of a process on a busy machine.
         let (lease_ms, stall_ms, beat_ms) = (1_000, 20_000, 50);
         let (drain_ms, effect_ms, step_ms, scout_word_ms) = (1_000, 250, 20_000, None);
         Council { seats: 3, lease_ms, stall_ms, beat_ms, drain_ms, effect_ms, step_ms, scout_word_ms }
@@ -116,23 +119,23 @@
     true
 }
 
-/// A whole run.
+/// A complete run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
     pub seed: u64,
     pub gateways: usize,
-    /// Clients at each gateway; none: nothing is asked of the store.
+    /// Clients per gateway; 0: no commands.
     pub clients: usize,
-    /// Milliseconds between two probes of membership, and of suspicion.
+    /// Probe interval and suspicion time of the membership in milliseconds.
     pub probe_ms: u64,
     pub suspect_ms: u64,
-    /// The last gateway goes by the first one's name. Ways are then direct, since a name does not tell which is meant.
+    /// The last gateway uses the first one's name. Links are then direct, since names do not identify a gateway.
     #[serde(default)]
     pub twins: bool,
-    /// Whether routers hear what other gateways saw.
+    /// Whether routers receive the observations of other gateways.
     #[serde(default = "yes")]
     pub advise: bool,
-    /// Gateways agree on documents and hold duties.
+    /// Whether gateways have consensus and duties.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub council: Option<Council>,
     pub faults: Vec<Fault>,
@@ -160,17 +163,17 @@
         gateway % ZONES.len()
     }
 
-    /// Those of one zone, and all others.
+    /// Gateways of a zone, and all others.
     pub fn sides(&self, zone: usize) -> (Vec<usize>, Vec<usize>) {
         (0..self.gateways).partition(|gateway| Plan::zone(*gateway) == zone)
     }
 
-    /// When the last fault is over.
+    /// End of the last fault.
     pub fn ends(&self) -> u64 {
         self.faults.iter().map(Fault::ends).max().unwrap_or(0)
     }
 
-    /// From this moment on all comes so much later: what is under way lasts so much longer.
+    /// Delays everything from a moment on; faults in progress last longer.
     pub fn delay(&mut self, moment: u64, by_ms: u64) {
         for fault in &mut self.faults {
             if fault.at_ms >= moment {
@@ -181,17 +184,18 @@
         }
     }
 
-    /// Reads a plan and checks it. Errors name what is wrong.
+    /// Parses and validates a plan. Errors name what is wrong.
     pub fn read(text: &str) -> Result<Plan, String> {
         let plan: Plan = serde_json::from_str(text).map_err(|error| error.to_string())?;
-        if !(2..=GATEWAYS_MOST).contains(&plan.gateways) {
-            return Err(format!("{} gateways are not from 2 to {GATEWAYS_MOST}", plan.gateways));
+        if !(2..=MAX_GATEWAYS).contains(&plan.gateways) {
+            return Err(format!("{} gateways are not from 2 to {MAX_GATEWAYS}", plan.gateways));
         }
         for (place, fault) in plan.faults.iter().enumerate() {
             if fault.touches().iter().any(|gateway| *gateway >= plan.gateways) {
                 return Err(format!("fault {place} names a gateway that there is not"));
             }
-            if matches!(fault.what, What::Elect { shard, .. } | What::Change { shard } if shard >= SHARDS) {
+            if matches!(fault.what, FaultKind::Elect { shard, .. } | FaultKind::Change { shard } if shard >= SHARDS)
+            {
                 return Err(format!("fault {place} names a shard that there is not"));
             }
             if fault.ends() > 600_000 {
@@ -201,7 +205,7 @@
         Ok(plan)
     }
 
-    /// Some faults by chance, one or two at a time. The same seed gives the same plan.
+    /// Generates a plan with random faults, one or two at a time; the same for the same seed.
     pub fn drawn(seed: u64, gateways: usize, faults: usize) -> Plan {
         let mut rng = Rng::with_seed(seed);
         let mut plan = Plan { seed, gateways, ..Plan::default() };
@@ -213,40 +217,42 @@
             let (zone, rest) = plan.sides(rng.usize(0..ZONES.len()));
             let what = match rng.usize(0..9) {
                 0 => vec![
-                    What::Cut { from: zone.clone(), to: rest.clone() },
-                    What::Cut { from: rest, to: zone },
+                    FaultKind::Cut { from: zone.clone(), to: rest.clone() },
+                    FaultKind::Cut { from: rest, to: zone },
                 ],
-                1 => vec![What::Cut { from: others, to: vec![one] }],
-                2 => vec![What::Cut { from: vec![one], to: others }],
-                3 => vec![What::Bad {
+                1 => vec![FaultKind::Cut { from: others, to: vec![one] }],
+                2 => vec![FaultKind::Cut { from: vec![one], to: others }],
+                3 => vec![FaultKind::Bad {
                     from: (0..gateways).collect(),
                     to: (0..gateways).collect(),
-                    // Hundredths, so that a plan reads as it was written.
+                    // Rounded to hundredths, so that a plan is read as it was written.
                     lost: f64::from(rng.u32(0..31)) / 100.0,
                     doubled: f64::from(rng.u32(0..31)) / 100.0,
                     delay_ms: rng.u64(1..30),
                 }],
-                4 => vec![What::Kill { who: vec![one] }],
-                5 => vec![What::Kill { who: (0..gateways).filter(|n| n % 10 < 7 && *n != one).collect() }],
-                6 => vec![What::Stop { who: vec![one] }],
-                7 => vec![What::Kill { who: zone }],
-                _ => vec![What::Pause { who: vec![one] }],
+                4 => vec![FaultKind::Kill { who: vec![one] }],
+                5 => {
+                    vec![FaultKind::Kill { who: (0..gateways).filter(|n| n % 10 < 7 && *n != one).collect() }]
+                }
+                6 => vec![FaultKind::Stop { who: vec![one] }],
+                7 => vec![FaultKind::Kill { who: zone }],
+                _ => vec![FaultKind::Pause { who: vec![one] }],
             };
             plan.faults.extend(what.into_iter().map(|what| Fault { at_ms: at, for_ms, what }));
-            // One that starts before the last has ended meets it.
+            // It may overlap with the previous one.
             at += if rng.bool() { for_ms / 2 } else { for_ms + rng.u64(0..2_000) };
         }
         plan
     }
 
-    /// Changes of primary with two faults at once under each, the seats among those that they befall. The same seed
-    /// gives the same plan.
+    /// Generates a plan of changes of primary with two faults at once in each, also of voting members; the same for
+    /// the same seed.
     pub fn drawn_changes(seed: u64, gateways: usize, changes: usize) -> Plan {
         let mut rng = Rng::with_seed(seed);
         let council = Council::default();
         let (seats, all) = (council.seats, (0..gateways).collect::<Vec<usize>>());
         let mut plan = Plan { seed, gateways, council: Some(council), ..Plan::default() };
-        // Of the seats only one loses what it had: without most of their disks there is no council to come back to.
+        // Only one voting member loses its store: without a majority of them the cluster could not continue.
         let mut disk = rng.usize(0..seats);
         for change in 0..changes {
             let at_ms = change as u64 * 6_000;
@@ -254,30 +260,36 @@
             plan.faults.push(Fault {
                 at_ms: at_ms + rng.u64(0..300),
                 for_ms: 0,
-                what: What::Change { shard },
+                what: FaultKind::Change { shard },
             });
             for _ in 0..2 {
                 let one = if rng.bool() { rng.usize(0..seats) } else { rng.usize(0..gateways) };
                 let others: Vec<usize> = all.iter().copied().filter(|other| *other != one).collect();
                 let (from, to) = (all.clone(), all.clone());
                 let what = match rng.usize(0..10) {
-                    0 => What::Cut { from: vec![one], to: others },
-                    1 => What::Cut { from: others, to: vec![one] },
-                    2 => What::Kill { who: vec![one] },
-                    3 => What::Stop { who: vec![one] },
-                    4 => What::Pause { who: vec![one] },
-                    5 => What::Bad {
+                    0 => FaultKind::Cut { from: vec![one], to: others },
+                    1 => FaultKind::Cut { from: others, to: vec![one] },
+                    2 => FaultKind::Kill { who: vec![one] },
+                    3 => FaultKind::Stop { who: vec![one] },
+                    4 => FaultKind::Pause { who: vec![one] },
+                    5 => FaultKind::Bad {
                         from,
                         to,
                         lost: f64::from(rng.u32(10..31)) / 100.0,
                         doubled: 0.1,
                         delay_ms: 30,
                     },
-                    6 => What::Bad { from: vec![one], to: others, lost: 0.0, doubled: 0.0, delay_ms: 200 },
-                    7 => What::Kill { who: (0..seats).collect() },
-                    8 if disk < seats => What::LoseDisk { who: vec![std::mem::replace(&mut disk, seats)] },
-                    9 if disk < seats => What::OldDisk { who: vec![std::mem::replace(&mut disk, seats)] },
-                    _ => What::SlowStore { by_ms: rng.u64(100..800) },
+                    6 => {
+                        FaultKind::Bad { from: vec![one], to: others, lost: 0.0, doubled: 0.0, delay_ms: 200 }
+                    }
+                    7 => FaultKind::Kill { who: (0..seats).collect() },
+                    8 if disk < seats => {
+                        FaultKind::LoseDisk { who: vec![std::mem::replace(&mut disk, seats)] }
+                    }
+                    9 if disk < seats => {
+                        FaultKind::OldDisk { who: vec![std::mem::replace(&mut disk, seats)] }
+                    }
+                    _ => FaultKind::SlowStore { by_ms: rng.u64(100..800) },
                 };
                 let (at_ms, for_ms) = (at_ms + rng.u64(0..800), rng.u64(800..2_500));
                 plan.faults.push(Fault { at_ms, for_ms, what });
@@ -286,8 +298,7 @@
         plan
     }
 
-    /// The smallest plan that still fails, as far as leaving out and shortening single faults leads to one. `fails` is
-    /// asked at most `tries` times.
+    /// Minimizes a failing plan by removing and shortening single faults. Calls `fails` at most `tries` times.
     pub fn shrunk(&self, tries: usize, mut fails: impl FnMut(&Plan) -> bool) -> Plan {
         let (mut plan, mut left) = (self.clone(), tries);
         loop {
@@ -337,7 +348,7 @@
 
     #[test]
     fn what_is_delayed_lasts_longer_or_comes_later_and_what_is_over_stays() {
-        let fault = |at_ms, for_ms| Fault { at_ms, for_ms, what: What::SlowStore { by_ms: 1 } };
+        let fault = |at_ms, for_ms| Fault { at_ms, for_ms, what: FaultKind::SlowStore { by_ms: 1 } };
         let of = |faults: &[(u64, u64)]| faults.iter().map(|(at, long)| fault(*at, *long)).collect();
         let mut plan =
             Plan { faults: of(&[(0, 50), (0, 100), (50, 100), (100, 0), (150, 10)]), ..Plan::default() };
--- a/crates/rig/src/run.rs
+++ b/crates/rig/src/run.rs
@@ -1,4 +1,4 @@
-//! One run of a plan: the store, the gateways and the ways between them, then the verdict.
+//! Execution of a plan: store, gateways and links between them, then the checks.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -6,51 +6,51 @@
 
 use serde::Serialize;
 use serde_json::json;
-use tansyjunction_standin::{Asked, Death, Discovery, Load, Reply, Shape, Store, adds_up};
+use tansyjunction_standin::{Asked, Death, Discovery, Load, Reply, Store, StoreConfig, check_ledger};
 
 use crate::fleet::{Fleet, mono};
 use crate::ground::{lose_disk, put_disk};
-use crate::judge::{self, Told};
-use crate::links::{Links, Way};
-use crate::plan::{Plan, SHARDS, What};
+use crate::judge::{self, MembershipLine};
+use crate::links::{LinkState, Links};
+use crate::plan::{FaultKind, Plan, SHARDS};
 
-/// All gateways must know each other within this, at the start and after the last fault.
-const AGREES_WITHIN: Duration = Duration::from_secs(40);
-const LOOKS_EVERY: Duration = Duration::from_millis(50);
-/// No moment of a plan comes later than this beyond its time, whatever it waits for.
-const READY_WITHIN: Duration = Duration::from_secs(30);
+/// Time for all gateways to know each other, at the start and after the last fault.
+const AGREEMENT_TIMEOUT: Duration = Duration::from_secs(40);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Longest additional delay of a step that waits for a condition.
+const MAX_STEP_DELAY: Duration = Duration::from_secs(30);
 const MEMBERS: usize = 3;
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
     pub plan: Plan,
-    /// What broke a rule; empty: nothing did.
+    /// Violated rules; empty if none.
     pub broken: Vec<String>,
-    pub history: Vec<Told>,
+    pub history: Vec<MembershipLine>,
     /// Milliseconds until all gateways knew each other: from the start, and from the end of the last fault.
     pub joined_ms: u64,
     pub healed_ms: Option<u64>,
-    /// Milliseconds from each kill to the last word of it.
+    /// Milliseconds from each kill to the last report of it.
     pub detected_ms: BTreeMap<usize, i64>,
     pub answered: usize,
     pub throttled: usize,
     pub failed: usize,
-    /// Commands whose connection ended, with their gateway.
+    /// Commands whose connection ended with their gateway.
     pub cut_off: usize,
-    /// Datagrams that passed, and that were dropped by faults.
+    /// Datagrams forwarded, and dropped by faults.
     pub datagrams: (u64, u64),
-    /// Commands by second: asked, and answered.
+    /// Commands per second: sent and answered.
     pub service: Vec<(u64, usize, usize)>,
-    /// Of those after the first kill's end, in the first second: asked, answered, and the mean time of these in ms.
+    /// Commands in the first second after the first kill's end: sent, answered, and mean duration of these in ms.
     pub after_restart: (usize, usize, f64),
 }
 
-/// Whether each gateway that runs says that all others live, and that no zone is dark. Err tells who does not.
+/// Whether all running gateways see all others alive and no dark zone. `Err` names one that does not.
 fn agree(fleet: &Fleet) -> Result<(), String> {
     let all = (0..fleet.gateways.len()).map(|number| fleet.ask(number, &json!({"do": "fellows"})));
     let all = all.collect::<Result<Vec<_>, _>>()?;
-    // Of two with one name one keeps silent; it is nobody's fellow.
+    // Of two gateways with one name, one stays silent and is not a member.
     let names: BTreeSet<&str> = fleet.gateways.iter().map(|gateway| gateway.name.as_str()).collect();
     let silent = all.iter().filter(|status| status["yields"] == true).count();
     if silent + names.len() != all.len() {
@@ -74,26 +74,28 @@
     loop {
         match agree(fleet) {
             Ok(()) => return Ok(began.elapsed()),
-            Err(message) if began.elapsed() > AGREES_WITHIN => return Err(message),
-            Err(_) => std::thread::sleep(LOOKS_EVERY),
+            Err(message) if began.elapsed() > AGREEMENT_TIMEOUT => return Err(message),
+            Err(_) => std::thread::sleep(POLL_INTERVAL),
         }
     }
 }
 
-/// How the way from one to another is, with these faults under way.
-fn way(plan: &Plan, now_ms: u64, from: usize, to: usize) -> Way {
+/// State of a link at a time of the plan.
+fn link_state(plan: &Plan, now_ms: u64, from: usize, to: usize) -> LinkState {
     let under_way = |fault: &&crate::plan::Fault| fault.at_ms <= now_ms && now_ms < fault.ends();
-    let faults: Vec<&What> = plan.faults.iter().filter(under_way).map(|fault| &fault.what).collect();
-    way_of(&faults, from, to)
+    let faults: Vec<&FaultKind> = plan.faults.iter().filter(under_way).map(|fault| &fault.what).collect();
+    link_state_under(&faults, from, to)
 }
 
-/// Likewise with those that are under way.
-pub(crate) fn way_of(faults: &[&What], from: usize, to: usize) -> Way {
-    let mut way = Way::default();
+/// State of a link under these faults.
+pub(crate) fn link_state_under(faults: &[&FaultKind], from: usize, to: usize) -> LinkState {
+    let mut way = LinkState::default();
     for what in faults {
         match what {
-            What::Cut { from: a, to: b } => way.cut |= a.contains(&from) && b.contains(&to),
-            What::Bad { from: a, to: b, lost, doubled, delay_ms } if a.contains(&from) && b.contains(&to) => {
+            FaultKind::Cut { from: a, to: b } => way.cut |= a.contains(&from) && b.contains(&to),
+            FaultKind::Bad { from: a, to: b, lost, doubled, delay_ms }
+                if a.contains(&from) && b.contains(&to) =>
+            {
                 way.lost = way.lost.max(*lost);
                 way.doubled = way.doubled.max(*doubled);
                 way.delay = way.delay.max(Duration::from_millis(*delay_ms));
@@ -104,32 +106,32 @@
     way
 }
 
-/// Whether a fault of a kind has hold of a gateway at this moment.
-fn held(plan: &Plan, now_ms: u64, who: usize, kind: impl Fn(&What) -> &[usize]) -> bool {
+/// Whether a fault of this kind affects a gateway now.
+fn held(plan: &Plan, now_ms: u64, who: usize, kind: impl Fn(&FaultKind) -> &[usize]) -> bool {
     let mut faults = plan.faults.iter().filter(|fault| fault.at_ms <= now_ms && now_ms < fault.ends());
     faults.any(|fault| kind(&fault.what).contains(&who))
 }
 
-/// What there is to see before a moment of a plan.
-pub struct Sight<'a> {
+/// What a condition of a step may examine.
+pub struct StepCondition<'a> {
     fleet: &'a Fleet,
     zero: u64,
     plan: &'a Plan,
     moment: u64,
 }
 
-impl Sight<'_> {
-    /// What gateways told so far.
-    pub fn history(&self) -> Vec<Told> {
+impl StepCondition<'_> {
+    /// Membership events so far.
+    pub fn history(&self) -> Vec<MembershipLine> {
         history(self.fleet, self.zero)
     }
 
-    /// Whether all that run know each other.
+    /// Whether all running gateways know each other.
     pub fn agreed(&self) -> bool {
         agree(self.fleet).is_ok()
     }
 
-    /// Whether a fault begins, or ends.
+    /// Whether this is the start of a fault, or else its end.
     pub fn begins(&self) -> bool {
         self.plan.faults.iter().any(|fault| fault.at_ms == self.moment)
     }
@@ -139,26 +141,29 @@
     }
 }
 
-fn history(fleet: &Fleet, zero: u64) -> Vec<Told> {
+fn history(fleet: &Fleet, zero: u64) -> Vec<MembershipLine> {
     let all = 0..fleet.gateways.len();
-    let mut history: Vec<Told> =
+    let mut history: Vec<MembershipLine> =
         all.flat_map(|number| judge::read(number, &fleet.log(number), zero)).collect();
     history.sort_by_key(|told| (told.at_ms, told.by));
     history
 }
 
-/// Plays a plan with the program at `program`. Errors are of the rig itself.
+/// Executes a plan with the program at `program`. Errors are those of the test environment.
 pub fn run(program: &Path, plan: &Plan) -> Result<Outcome, String> {
     run_when(program, plan, &|_| true)
 }
 
-/// The same, and each moment of the plan comes no sooner than `ready` says: on a busy machine what a fault is to lead
-/// to may take longer than the plan lets it last. Faults last, and come, so much later; so does the plan of the
-/// outcome.
-pub fn run_when(program: &Path, plan: &Plan, ready: &dyn Fn(&Sight) -> bool) -> Result<Outcome, String> {
+/// The same, where each step also waits until `ready` holds: on a busy machine the effect of a fault may take longer
+/// than planned. Later steps are delayed accordingly, also in the resulting plan.
+pub fn run_when(
+    program: &Path,
+    plan: &Plan,
+    ready: &dyn Fn(&StepCondition) -> bool,
+) -> Result<Outcome, String> {
     let plan = &mut plan.clone();
     let said = |error: std::io::Error| error.to_string();
-    let shape = Shape { shards: SHARDS, members: MEMBERS, seed: plan.seed, ..Shape::default() };
+    let shape = StoreConfig { shards: SHARDS, members: MEMBERS, seed: plan.seed, ..StoreConfig::default() };
     let store = Store::start(shape).map_err(said)?;
     let discovery = Discovery::start(&store).map_err(said)?;
     let mut fleet = Fleet::new(program, plan).map_err(said)?;
@@ -174,7 +179,7 @@
     let mut broken = Vec::new();
     let joined = until_agreed(&fleet).unwrap_or_else(|message| {
         broken.push(format!("at the start {message}"));
-        AGREES_WITHIN
+        AGREEMENT_TIMEOUT
     });
     let addresses: Vec<_> = fleet.gateways.iter().map(|gateway| gateway.address).collect();
     let load = Load::start(&addresses, plan.clients, SHARDS, Duration::from_millis(40));
@@ -188,7 +193,7 @@
         broken.extend(fleet.runs(number).err());
     }
     let history = history(&fleet, zero);
-    // A suspicion raised in a fault's last moment runs out this much later, in another region and in bad health.
+    // A suspicion at the very end of a fault expires this much later, in another region and in bad health.
     let after_ms = (plan.suspect_ms * 3 * 9) as i64;
     broken.extend(judge::false_deaths(plan, &history, after_ms));
     broken.extend(judge::lost_not_left(plan, &history));
@@ -199,15 +204,15 @@
     }
     let ended = |one: &&Asked| one.reply == Reply::Ended;
     let cut_off = asked.iter().filter(ended).count();
-    // A gateway that stops may close a connection while a command is on its way to it; one that it took, it answers.
-    let dies = |what: &What| matches!(what, What::Kill { .. } | What::Pause { .. });
+    // A stopping gateway may close a connection that a command is in transit on; accepted commands are answered.
+    let dies = |what: &FaultKind| matches!(what, FaultKind::Kill { .. } | FaultKind::Pause { .. });
     if !plan.faults.iter().any(|fault| dies(&fault.what)) {
         let ran: Vec<String> = store.ledger().into_iter().map(|row| row.key).collect();
         let taken = asked.iter().filter(ended).filter(|one| ran.contains(&one.key));
         broken.extend(taken.map(|one| format!("the command {} ran and got no answer", one.key)));
     }
     let rest: Vec<Asked> = asked.iter().filter(|one| !ended(one)).cloned().collect();
-    let sum = adds_up(&store, &rest).unwrap_or_else(|message| {
+    let sum = check_ledger(&store, &rest).unwrap_or_else(|message| {
         broken.push(message);
         Default::default()
     });
@@ -217,8 +222,11 @@
         row.0 += 1;
         row.1 += usize::from(matches!(one.reply, Reply::Value(_)));
     }
-    let restart =
-        plan.faults.iter().find(|fault| matches!(fault.what, What::Kill { .. })).map(|fault| fault.ends());
+    let restart = plan
+        .faults
+        .iter()
+        .find(|fault| matches!(fault.what, FaultKind::Kill { .. }))
+        .map(|fault| fault.ends());
     let first = |one: &&Asked| {
         let at = one.began.as_millis() as u64;
         restart.is_some_and(|restart| (restart..restart + 1_000).contains(&at))
@@ -247,21 +255,20 @@
     })
 }
 
-fn of_kill(what: &What) -> &[usize] {
+fn of_kill(what: &FaultKind) -> &[usize] {
     what.kills()
 }
 
-fn of_stop(what: &What) -> &[usize] {
-    if let What::Stop { who } = what { who } else { &[] }
+fn of_stop(what: &FaultKind) -> &[usize] {
+    if let FaultKind::Stop { who } = what { who } else { &[] }
 }
 
-fn of_pause(what: &What) -> &[usize] {
-    if let What::Pause { who } = what { who } else { &[] }
+fn of_pause(what: &FaultKind) -> &[usize] {
+    if let FaultKind::Pause { who } = what { who } else { &[] }
 }
 
-/// Does each fault at its time, or as soon as `ready` says from then on, and undoes it at its end likewise. `change`
-/// is told of a shard whose primary an operator changes, and of a gateway that is well; `list` of a server that
-/// leads. Returns what went wrong with the processes.
+/// Executes each fault at its time, or once `ready` holds after that, and ends it likewise. Calls `change` for a shard
+/// whose primary an operator changes, with a healthy gateway, and `list` for a new primary. Returns process errors.
 pub(crate) fn play(
     fleet: &mut Fleet,
     links: &[&Links],
@@ -269,7 +276,7 @@
     list: impl Fn(usize),
     mut change: impl FnMut(&Fleet, usize, usize),
     plan: &mut Plan,
-    ready: &dyn Fn(&Sight) -> bool,
+    ready: &dyn Fn(&StepCondition) -> bool,
 ) -> Result<Vec<String>, String> {
     #[derive(Clone, Copy, PartialEq)]
     enum State {
@@ -281,7 +288,7 @@
     let mut states = vec![State::Up; plan.gateways];
     let mut broken = Vec::new();
     let crowned = |fault: &crate::plan::Fault| match fault.what {
-        What::Elect { after_ms, .. } => Some(fault.at_ms + after_ms),
+        FaultKind::Elect { after_ms, .. } => Some(fault.at_ms + after_ms),
         _ => None,
     };
     let after = |plan: &Plan, last: Option<u64>| {
@@ -289,34 +296,36 @@
             plan.faults.iter().flat_map(|fault| [Some(fault.at_ms), crowned(fault), Some(fault.ends())]);
         moments.flatten().filter(|moment| Some(*moment) > last).min()
     };
-    // By shard: who died, and who took over.
+    // By shard: the server that died, and its successor.
     let mut elected: BTreeMap<usize, (usize, usize)> = BTreeMap::new();
     let (began, zero, mut last) = (Instant::now(), mono(), None);
     while let Some(mut moment) = after(plan, last) {
         let due = began + Duration::from_millis(moment);
         std::thread::sleep(due.saturating_duration_since(Instant::now()));
         let waited = Instant::now();
-        while !ready(&Sight { fleet, zero, plan, moment }) && waited.elapsed() < READY_WITHIN {
-            std::thread::sleep(LOOKS_EVERY);
+        while !ready(&StepCondition { fleet, zero, plan, moment }) && waited.elapsed() < MAX_STEP_DELAY {
+            std::thread::sleep(POLL_INTERVAL);
             let late = began.elapsed().as_millis() as u64 - moment;
             plan.delay(moment, late);
             moment += late;
         }
         last = Some(moment);
-        links.iter().for_each(|links| links.set(|from, to| way(plan, moment, from, to)));
+        links.iter().for_each(|links| links.set(|from, to| link_state(plan, moment, from, to)));
         let slow = plan.faults.iter().filter(|fault| fault.at_ms <= moment && moment < fault.ends());
-        let slow = slow
-            .filter_map(|fault| if let What::SlowStore { by_ms } = fault.what { Some(by_ms) } else { None });
+        let slow =
+            slow.filter_map(
+                |fault| if let FaultKind::SlowStore { by_ms } = fault.what { Some(by_ms) } else { None },
+            );
         store.slow(Duration::from_millis(slow.max().unwrap_or(0)));
         for fault in &plan.faults {
-            if let (What::Change { shard }, true) = (&fault.what, fault.at_ms == moment)
+            if let (FaultKind::Change { shard }, true) = (&fault.what, fault.at_ms == moment)
                 && let Some(well) = states.iter().position(|state| *state == State::Up)
             {
                 change(fleet, well, *shard);
             }
         }
         for fault in &plan.faults {
-            let What::Elect { shard, .. } = fault.what else { continue };
+            let FaultKind::Elect { shard, .. } = fault.what else { continue };
             if fault.at_ms == moment
                 && let (Some(old), Some(new)) = (store.leader(shard), store.follower(shard))
             {
@@ -326,12 +335,12 @@
             if crowned(fault) == Some(moment)
                 && let Some((_, new)) = elected.get(&shard)
             {
-                store.crown(shard, *new);
+                store.set_primary(shard, *new);
             }
             if fault.ends() == moment
                 && let Some((old, new)) = elected.remove(&shard)
             {
-                store.back(old, false);
+                store.restart(old, false);
                 list(new);
             }
         }
@@ -361,8 +370,8 @@
                     };
                     for fault in plan.faults.iter().filter(ended) {
                         match &fault.what {
-                            What::LoseDisk { .. } => lose_disk(fleet, number)?,
-                            What::OldDisk { .. } => put_disk(fleet, number)?,
+                            FaultKind::LoseDisk { .. } => lose_disk(fleet, number)?,
+                            FaultKind::OldDisk { .. } => put_disk(fleet, number)?,
                             _ => {}
                         }
                     }
@@ -382,7 +391,7 @@
             fleet.serves(number)?;
         }
     }
-    links.iter().for_each(|links| links.set(|_, _| Way::default()));
+    links.iter().for_each(|links| links.set(|_, _| LinkState::default()));
     store.slow(Duration::ZERO);
     Ok(broken)
 }
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -1,4 +1,4 @@
-//! A client on one connection, one command at a time.
+//! Test client on one connection, with one command at a time.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -6,32 +6,33 @@
 
 use crate::frames::{START, message, read};
 
-/// What a client was answered.
+/// Answer to a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// ReadyForQuery alone, as after the startup.
+    /// Only ReadyForQuery, as after the startup.
     Ready,
     Empty,
     Value(Vec<u8>),
-    /// An error's code, and its field D.
+    /// SQLSTATE of an error, and its field D.
     Error(String, Option<String>),
     /// The connection ended before ReadyForQuery.
     Ended,
 }
 
 impl Reply {
-    /// A new try does no harm.
+    /// Whether a retry is harmless.
     pub fn throttled(&self) -> bool {
         matches!(self, Reply::Error(code, _) if code == "53300" || code == "57P03")
     }
 }
 
+/// A connected client.
 pub struct Client {
     pub stream: TcpStream,
 }
 
 impl Client {
-    /// Connects and waits until the other side is ready; `patience`: the longest wait for any answer.
+    /// Connects and waits until the server is ready; `patience` limits the wait for each answer.
     pub fn connect(address: SocketAddr, patience: Duration) -> std::io::Result<Client> {
         let mut stream = TcpStream::connect(address)?;
         stream.set_nodelay(true)?;
@@ -44,6 +45,7 @@
         }
     }
 
+    /// Sends a statement without waiting.
     pub fn send(&mut self, statement: &str) {
         let _ = self.stream.write_all(&message(b'Q', format!("{statement}\0").as_bytes()));
     }
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery on loopback: the whole list, then its changes; roles run late.
+//! Discovery service on loopback: the whole list, then its changes; roles are reported late.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -9,13 +9,14 @@
 
 use crate::store::Store;
 
-/// Tells the list of a store's servers. Roles change in it when they are told, late as in life.
+/// Serves the list of a store's servers. Roles change only when set here, late as in reality.
 pub struct Discovery {
     pub address: SocketAddr,
     state: Arc<Mutex<(u64, Vec<Json>)>>,
 }
 
 impl Discovery {
+    /// Starts the service.
     pub fn start(store: &Store) -> std::io::Result<Discovery> {
         let members = store.shared.shape.members;
         let hosts = store.addresses.iter().enumerate().map(|(server, address)| {
@@ -38,7 +39,7 @@
         Ok(Discovery { address, state })
     }
 
-    /// From now on the list tells that this server leads its shard.
+    /// Lists this server as the primary of its shard from now on.
     pub fn leads(&self, server: usize, members: usize) {
         let Ok(mut state) = self.state.lock() else { return };
         state.0 += 1;
--- a/crates/standin/src/frames.rs
+++ b/crates/standin/src/frames.rs
@@ -1,9 +1,11 @@
-//! PostgreSQL's messages, as far as both sides of the stand-ins need them.
+//! PostgreSQL messages as needed by the stand-ins.
 
 use std::io::{Read, Result};
 
+/// Startup message of a client.
 pub const START: &[u8] = b"\0\0\0\x20\0\x03\0\0user\0svc\0database\0main\0\0";
 
+/// Encodes a message.
 pub fn message(kind: u8, body: &[u8]) -> Vec<u8> {
     let mut out = vec![kind];
     out.extend((body.len() as u32 + 4).to_be_bytes());
@@ -11,22 +13,24 @@
     out
 }
 
-/// An answer of one row with one binary column.
+/// Encodes an answer of one row with one binary column.
 pub fn row(value: &[u8]) -> Vec<u8> {
     let column = [&[0, 1][..], &(value.len() as u32).to_be_bytes(), value].concat();
     let columns = b"\0\x01v\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01";
     [message(b'T', columns), message(b'D', &column), message(b'C', b"SELECT 1\0")].concat()
 }
 
+/// Encodes an ErrorResponse.
 pub fn error(code: &str, text: &str) -> Vec<u8> {
     message(b'E', format!("SERROR\0C{code}\0M{text}\0\0").as_bytes())
 }
 
+/// Encodes a ParameterStatus.
 pub fn status(name: &str, value: &str) -> Vec<u8> {
     message(b'S', format!("{name}\0{value}\0").as_bytes())
 }
 
-/// The next message with its kind, or a startup message without one.
+/// Reads the next message with its type, or a startup message without one.
 pub fn read(stream: &mut impl Read, with_kind: bool) -> Result<(u8, Vec<u8>)> {
     let mut head = vec![0; if with_kind { 5 } else { 4 }];
     stream.read_exact(&mut head)?;
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,8 +1,8 @@
-//! A stand-in for a replicated store on loopback, written from the public protocol: servers that speak PostgreSQL's
-//! messages, discovery over HTTP, and clients. Threads and real time; chance comes from a seed.
+//! Stand-in for a replicated store on loopback, written from the public protocol: servers that speak PostgreSQL,
+//! discovery over HTTP, and clients. Uses threads and real time; random numbers are seeded.
 //!
-//! [`Store`] holds shards of one primary and replicas, remembers keys for their window and keeps a ledger of every
-//! effect. Its servers can be switched, killed, hung and brought back, by calls or by a [`Script`] in INI.
+//! [`Store`] has shards of one primary and replicas, remembers keys for their window and records every effect in a
+//! ledger. Its servers can be switched, killed, hung and restarted, by calls or by a [`Script`] in INI.
 
 mod client;
 mod discovery;
@@ -17,7 +17,7 @@
 pub use client::{Client, Reply};
 pub use discovery::Discovery;
 pub use frames::{START, message, row};
-pub use load::{Asked, Load, Sum, adds_up, payment};
+pub use load::{AnswerCounts, Asked, Load, check_ledger, payment};
 pub use script::Script;
-pub use store::{Death, Row, Shape, Store};
-pub use switches::{End, Ordered, Waits};
+pub use store::{Death, LedgerRow, Store, StoreConfig};
+pub use switches::{HoldPoint, Ordered, SwitchResult};
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -1,4 +1,4 @@
-//! Clients that send payments, and whether what they were told agrees with the ledger.
+//! Load of clients that send payments, and a check of their answers against the ledger.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,29 +12,29 @@
 use crate::client::{Client, Reply};
 use crate::store::Store;
 
-/// How long a client waits for its connection or an answer: longer than its command's time.
-const PATIENCE: Duration = Duration::from_secs(4);
+/// Timeout of a client for its connection or an answer: longer than its command's timeout.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// One command of a client and its end.
+/// A command of a client and its answer.
 #[derive(Clone, Debug)]
 pub struct Asked {
     pub shard: usize,
     pub key: String,
-    /// Since the load's beginning, and how long the answer took.
+    /// Time since the start of the load, and duration until the answer.
     pub began: Duration,
     pub took: Duration,
     pub reply: Reply,
 }
 
-/// Answered, throttled and failed commands.
+/// Numbers of answered, throttled and failed commands.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sum {
+pub struct AnswerCounts {
     pub answered: usize,
     pub throttled: usize,
     pub failed: usize,
 }
 
-/// Clients that send payments one after the other until they are stopped.
+/// Clients that send payments one after the other until stopped.
 pub struct Load {
     stop: Arc<AtomicBool>,
     asked: Arc<Mutex<Vec<Asked>>>,
@@ -43,14 +43,14 @@
 
 static NUMBER: AtomicU64 = AtomicU64::new(1);
 
-/// A write of the command group `issue` with two seconds for its answer.
+/// A write of the command group `issue` with a timeout of 2 s.
 pub fn payment(key: &str, shard: usize) -> String {
     let values = format!("INSERT INTO records (k, v) VALUES ('{key}', '\\x9f03') RETURNING v");
     format!("{values} /* id={key},c=issue,d=2000,k={key},cluster={shard} */")
 }
 
 impl Load {
-    /// `clients` connections to each gateway, with about so long between a client's commands.
+    /// Starts `clients` connections to each gateway, with about `pause` between a client's commands.
     pub fn start(gateways: &[SocketAddr], clients: usize, shards: usize, pause: Duration) -> Load {
         let (stop, asked) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::new())));
         let began = Instant::now();
@@ -63,12 +63,12 @@
         Load { threads: threads.collect(), stop, asked }
     }
 
-    /// What was asked so far.
+    /// Commands so far.
     pub fn asked(&self) -> Vec<Asked> {
         self.asked.lock().map_or(Vec::new(), |asked| asked.clone())
     }
 
-    /// Has all clients end after their answers.
+    /// Stops all clients after their current answers.
     pub fn stop(self) -> Vec<Asked> {
         self.stop.store(true, Ordering::SeqCst);
         for thread in self.threads {
@@ -90,7 +90,7 @@
     let mut connection = None;
     while !stop.load(Ordering::SeqCst) {
         if connection.is_none() {
-            connection = Client::connect(address, PATIENCE).ok();
+            connection = Client::connect(address, CLIENT_TIMEOUT).ok();
         }
         let Some(client) = &mut connection else {
             std::thread::sleep(Duration::from_millis(10));
@@ -110,14 +110,14 @@
     }
 }
 
-/// Each client's answer against the ledger, row by row: what was answered stands there once, what was throttled does
-/// not, and nothing stands there twice. Err tells the first that does not agree.
-pub fn adds_up(store: &Store, asked: &[Asked]) -> Result<Sum, String> {
+/// Checks each answer against the ledger: an answered command is there once, a throttled one is not, and none is there
+/// twice. `Err` names the first violation.
+pub fn check_ledger(store: &Store, asked: &[Asked]) -> Result<AnswerCounts, String> {
     let mut rows: HashMap<(usize, String), usize> = HashMap::new();
     for row in store.ledger() {
         *rows.entry((row.shard, row.key)).or_default() += 1;
     }
-    let mut sum = Sum::default();
+    let mut sum = AnswerCounts::default();
     for one in asked {
         let count = rows.get(&(one.shard, one.key.clone())).copied().unwrap_or(0);
         let agrees = match &one.reply {
--- a/crates/standin/src/script.rs
+++ b/crates/standin/src/script.rs
@@ -1,4 +1,4 @@
-//! What befalls a store, as a plan in INI: sections `[at TIME]` with `do = WORDS`.
+//! Scripted faults of a store in INI: sections `[at TIME]` with `do = WORDS`.
 
 use std::time::Duration;
 
@@ -9,26 +9,26 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Step {
-    /// A planned switch of a shard to a server, with the gap between both.
+    /// A planned switch of a shard to a server, with the time without a primary.
     Switch(usize, usize, Duration),
     Kill(usize, Death),
     Hang(usize),
-    /// How far a replica is behind from now on.
+    /// Sets the lag of a replica.
     Lag(usize, Duration),
     Crown(usize),
     Back(usize, bool),
-    /// The list tells who leads.
+    /// Lists a server as the primary.
     List(usize),
 }
 
-/// Steps by the time since the script's beginning.
+/// Steps by time since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Script {
     steps: Vec<(Duration, Step)>,
 }
 
 impl Script {
-    /// Reads `switch SHARD to SERVER after TIME`, `kill SERVER`, `kill SERVER after commit`, `hang SERVER`, `lag
+    /// Parses `switch SHARD to SERVER after TIME`, `kill SERVER`, `kill SERVER after commit`, `hang SERVER`, `lag
     /// SERVER TIME`, `crown SERVER`, `back SERVER`, `back SERVER as it was` and `list SERVER`.
     pub fn read(ini: &Ini, shards: usize, members: usize) -> Result<Script, SettingsError> {
         let mut steps = Vec::new();
@@ -46,7 +46,7 @@
         Ok(Script { steps })
     }
 
-    /// Does all of it, in its time.
+    /// Executes all steps at their times.
     pub fn run(&self, store: &Store, discovery: &Discovery) {
         let began = std::time::Instant::now();
         for (at, step) in &self.steps {
@@ -56,8 +56,8 @@
                 Step::Kill(server, death) => store.kill(*server, *death),
                 Step::Hang(server) => store.hang(*server),
                 Step::Lag(server, lag) => store.lag(*server, *lag),
-                Step::Crown(server) => store.crown(server / store.shared.shape.members, *server),
-                Step::Back(server, as_it_was) => store.back(*server, *as_it_was),
+                Step::Crown(server) => store.set_primary(server / store.shared.shape.members, *server),
+                Step::Back(server, as_it_was) => store.restart(*server, *as_it_was),
                 Step::List(server) => discovery.leads(*server, store.shared.shape.members),
             }
         }
--- a/crates/standin/src/scripted.rs
+++ b/crates/standin/src/scripted.rs
@@ -1,5 +1,5 @@
-//! Servers that keep to a script, one statement after the other, and a gateway between them and its clients: for
-//! tests of single failures. What goes wrong in a rig is a panic here, since a test goes no further then.
+//! Servers that follow a script, and a gateway between them and its clients, for tests of single failures. Errors
+//! panic, since the test cannot continue.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -15,41 +15,41 @@
 use crate::client::{Client, Reply};
 use crate::frames::{self, message, row};
 
-/// No wait of a test is longer.
-pub const BOUND: Duration = Duration::from_secs(20);
+/// Timeout of every wait in a test.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Asks until it is so.
-pub fn until(what: &str, mut so: impl FnMut() -> bool) {
+/// Waits until the condition holds.
+pub fn wait_until(what: &str, mut so: impl FnMut() -> bool) {
     let began = Instant::now();
     while !so() {
-        assert!(began.elapsed() < BOUND, "waited too long for {what}");
+        assert!(began.elapsed() < WAIT_TIMEOUT, "waited too long for {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// What a server does with a statement.
+/// Reaction of a server to a statement.
 #[derive(Clone)]
-pub enum Does {
+pub enum Reaction {
     Answers(Vec<u8>),
     Errs(&'static str),
-    /// Ends the connection without a word.
+    /// Closes the connection without an answer.
     Breaks,
-    /// Answers after a while.
+    /// Answers after a delay.
     AnswersLate(Vec<u8>, Duration),
     Says(Vec<u8>),
-    /// Answers, then ends the connection; every other new one is ended before its startup.
+    /// Answers, then closes the connection; every other new connection is closed before its startup.
     AnswersOnce(Vec<u8>),
 }
 
-/// A server with what it was asked so far; it keeps to its script and then repeats the last line of it.
-pub struct Server {
+/// A server that follows a script and then repeats its last step; records the statements.
+pub struct ScriptedServer {
     pub address: SocketAddr,
     asked: Arc<Mutex<Vec<String>>>,
     probes: Arc<AtomicUsize>,
 }
 
-impl Server {
-    pub fn start(primary: bool, script: Vec<Does>) -> Self {
+impl ScriptedServer {
+    pub fn start(primary: bool, script: Vec<Reaction>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let asked = Arc::new(Mutex::new(Vec::new()));
@@ -57,20 +57,20 @@
         let (noted, counted) = (asked.clone(), probes.clone());
         thread::spawn(move || {
             for (place, stream) in listener.incoming().flatten().enumerate() {
-                if place % 2 == 1 && matches!(script[..], [Does::AnswersOnce(_)]) {
+                if place % 2 == 1 && matches!(script[..], [Reaction::AnswersOnce(_)]) {
                     continue;
                 }
                 let (noted, counted, script) = (noted.clone(), counted.clone(), script.clone());
-                thread::spawn(move || Server::talk(stream, primary, &script, &noted, &counted));
+                thread::spawn(move || ScriptedServer::talk(stream, primary, &script, &noted, &counted));
             }
         });
-        Server { address, asked, probes }
+        ScriptedServer { address, asked, probes }
     }
 
     fn talk(
         mut stream: TcpStream,
         primary: bool,
-        script: &[Does],
+        script: &[Reaction],
         asked: &Mutex<Vec<String>>,
         probes: &AtomicUsize,
     ) -> Option<()> {
@@ -91,15 +91,15 @@
                 asked.len() - 1
             };
             let said = match script.get(place).or(script.last())? {
-                Does::Answers(value) => row(value),
-                Does::AnswersLate(value, after) => {
+                Reaction::Answers(value) => row(value),
+                Reaction::AnswersLate(value, after) => {
                     thread::sleep(*after);
                     row(value)
                 }
-                Does::Errs(code) => message(b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes()),
-                Does::Breaks => return None,
-                Does::Says(bytes) => bytes.clone(),
-                Does::AnswersOnce(value) => {
+                Reaction::Errs(code) => message(b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes()),
+                Reaction::Breaks => return None,
+                Reaction::Says(bytes) => bytes.clone(),
+                Reaction::AnswersOnce(value) => {
                     let _ = stream.write_all(&[row(value), message(b'S', status), ready].concat());
                     return None;
                 }
@@ -117,14 +117,14 @@
     }
 }
 
-/// A statement at a server behind a gate, of which the first byte is there.
+/// A statement that arrives at a gated server; its first byte was read.
 pub struct Arriving<'a> {
     pub stream: &'a mut TcpStream,
-    notes: &'a Mutex<Notes>,
+    notes: &'a Mutex<ServerRecord>,
 }
 
 impl Arriving<'_> {
-    /// Reads the statement to its end and notes it; tells how many came before.
+    /// Reads the rest of the statement and records it; returns the number of earlier ones.
     pub fn whole(&mut self) -> std::io::Result<usize> {
         let (_, body) = frames::read(self.stream, true)?;
         let mut notes = self.notes.lock().expect("the notes");
@@ -132,7 +132,7 @@
         Ok(notes.asked.len() - 1)
     }
 
-    /// Answers it as a primary or a replica does that stands at the present.
+    /// Answers as an up-to-date primary or replica.
     pub fn answer(&mut self, primary: bool, value: &[u8]) -> std::io::Result<()> {
         let recovery = if primary { "off" } else { "on" };
         let now = std::time::SystemTime::UNIX_EPOCH.elapsed().unwrap_or_default().as_millis();
@@ -141,40 +141,40 @@
     }
 }
 
-/// What a server behind a gate does with a statement; false: it ends the connection.
+/// Reaction of a gated server to a statement; false: it closes the connection.
 type Meets = dyn Fn(&mut Arriving) -> std::io::Result<bool> + Send + Sync;
 
 #[derive(Default)]
-struct Notes {
+struct ServerRecord {
     pass: usize,
     came: usize,
     ended: usize,
     asked: Vec<String>,
 }
 
-/// A server behind a gate: it takes connections, but answers the startup only of those that were let through.
-pub struct Gated {
+/// A gated server: accepts connections, but answers the startup only of those let through.
+pub struct GatedServer {
     pub address: SocketAddr,
-    notes: Arc<Mutex<Notes>>,
+    notes: Arc<Mutex<ServerRecord>>,
 }
 
-impl Gated {
+impl GatedServer {
     pub fn start(
         pass: usize,
         meets: impl Fn(&mut Arriving) -> std::io::Result<bool> + Send + Sync + 'static,
     ) -> Self {
-        Gated::on(TcpListener::bind("127.0.0.1:0").expect("a port"), pass, meets)
+        GatedServer::on(TcpListener::bind("127.0.0.1:0").expect("a port"), pass, meets)
     }
 
-    /// The same where so little of a statement fits in between that the rest waits at its sender.
+    /// The same with small buffers, so that most of a statement waits at its sender.
     pub fn narrow(meets: impl Fn(&mut Arriving) -> std::io::Result<bool> + Send + Sync + 'static) -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        // The sender's room grows with the segments' size.
+        // The sender's buffer grows with the segment size.
         socket.set_tcp_mss(536).expect("a small segment");
         socket.set_recv_buffer_size(4_096).expect("a small room");
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
         socket.listen(64).expect("a port");
-        Gated::on(socket.into(), usize::MAX, meets)
+        GatedServer::on(socket.into(), usize::MAX, meets)
     }
 
     fn on(
@@ -183,22 +183,22 @@
         meets: impl Fn(&mut Arriving) -> std::io::Result<bool> + Send + Sync + 'static,
     ) -> Self {
         let address = listener.local_addr().expect("an address");
-        let notes = Arc::new(Mutex::new(Notes { pass, ..Notes::default() }));
+        let notes = Arc::new(Mutex::new(ServerRecord { pass, ..ServerRecord::default() }));
         let (noted, meets): (_, Arc<Meets>) = (notes.clone(), Arc::new(meets));
         thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
                 let (noted, meets) = (noted.clone(), meets.clone());
                 thread::spawn(move || {
-                    let _ = Gated::talk(&mut stream, &noted, &*meets);
+                    let _ = GatedServer::talk(&mut stream, &noted, &*meets);
                     drop(stream);
                     noted.lock().expect("the notes").ended += 1;
                 });
             }
         });
-        Gated { address, notes }
+        GatedServer { address, notes }
     }
 
-    fn talk(stream: &mut TcpStream, notes: &Mutex<Notes>, meets: &Meets) -> std::io::Result<()> {
+    fn talk(stream: &mut TcpStream, notes: &Mutex<ServerRecord>, meets: &Meets) -> std::io::Result<()> {
         frames::read(stream, false)?;
         let place = {
             let mut notes = notes.lock().expect("the notes");
@@ -213,105 +213,105 @@
         Ok(())
     }
 
-    /// Lets so many connections through, the first ones.
+    /// Lets this many connections through, the first ones first.
     pub fn pass(&self, count: usize) {
         self.notes.lock().expect("the notes").pass = count;
     }
 
-    /// How many connections came, with their startup.
+    /// Number of connections that have sent their startup.
     pub fn came(&self) -> usize {
         self.notes.lock().expect("the notes").came
     }
 
-    /// How many connections have ended.
+    /// Number of connections that have ended.
     pub fn ended(&self) -> usize {
         self.notes.lock().expect("the notes").ended
     }
 
-    /// The statements that came whole.
+    /// Statements that arrived completely.
     pub fn asked(&self) -> Vec<String> {
         self.notes.lock().expect("the notes").asked.clone()
     }
 }
 
-/// Resets a connection as it is closed.
+/// Makes closing a connection send a reset.
 pub fn resets(stream: &TcpStream) {
     SockRef::from(stream).set_linger(Some(Duration::ZERO)).expect("an option");
 }
 
-/// How far a held server goes with those that connect.
+/// How far a held server proceeds with connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Goes {
-    /// Takes connections and says nothing.
+pub enum Progress {
+    /// Accepts connections and sends nothing.
     Mute,
-    /// Welcomes, and reads no more than the first bytes of a statement.
+    /// Answers the startup, and reads only the first bytes of a statement.
     Welcomes,
-    /// Reads statements and keeps its answers to itself.
+    /// Reads statements without answering.
     Reads,
-    /// Turns each statement away.
+    /// Rejects each statement.
     Throttles,
     /// Answers each statement.
     Answers,
 }
 
-/// A statement as far as a held server has read it.
+/// How much of a statement a held server has read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Begun {
-    /// Its first bytes have come.
+pub enum StatementProgress {
+    /// Its first bytes.
     First,
     Whole(String),
-    /// Its connection ended before it was whole.
+    /// Its connection ended before it was complete.
     Torn,
 }
 
-struct Hold {
-    goes: Goes,
+struct HeldState {
+    goes: Progress,
     connected: usize,
     welcomed: usize,
-    begun: Vec<Begun>,
+    begun: Vec<StatementProgress>,
 }
 
-/// A server that goes as far as its test lets it and notes each statement from its first bytes on.
-pub struct Held {
+/// A server that proceeds as far as its test allows, and records each statement from its first bytes.
+pub struct HeldServer {
     pub address: SocketAddr,
-    hold: Arc<(Mutex<Hold>, Condvar)>,
+    hold: Arc<(Mutex<HeldState>, Condvar)>,
 }
 
-impl Held {
-    pub fn start(primary: bool, goes: Goes) -> Self {
-        Held::listen(TcpListener::bind("127.0.0.1:0").expect("a port"), primary, goes)
+impl HeldServer {
+    pub fn start(primary: bool, goes: Progress) -> Self {
+        HeldServer::listen(TcpListener::bind("127.0.0.1:0").expect("a port"), primary, goes)
     }
 
-    /// One whose connections take little before it reads: a long statement is written to it in parts.
-    pub fn narrow(primary: bool, goes: Goes) -> Self {
+    /// The same with small buffers: long statements are written in parts.
+    pub fn narrow(primary: bool, goes: Progress) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let socket = socket2::SockRef::from(&listener);
         socket.set_recv_buffer_size(4_096).and_then(|()| socket.set_tcp_mss(536)).expect("options");
-        Held::listen(listener, primary, goes)
+        HeldServer::listen(listener, primary, goes)
     }
 
-    fn listen(listener: TcpListener, primary: bool, goes: Goes) -> Self {
+    fn listen(listener: TcpListener, primary: bool, goes: Progress) -> Self {
         let address = listener.local_addr().expect("an address");
-        let hold = Hold { goes, connected: 0, welcomed: 0, begun: Vec::new() };
+        let hold = HeldState { goes, connected: 0, welcomed: 0, begun: Vec::new() };
         let hold = Arc::new((Mutex::new(hold), Condvar::new()));
         let shared = hold.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let hold = shared.clone();
-                thread::spawn(move || Held::talk(stream, primary, &hold));
+                thread::spawn(move || HeldServer::talk(stream, primary, &hold));
             }
         });
-        Held { address, hold }
+        HeldServer { address, hold }
     }
 
-    fn talk(mut stream: TcpStream, primary: bool, hold: &(Mutex<Hold>, Condvar)) -> Option<()> {
+    fn talk(mut stream: TcpStream, primary: bool, hold: &(Mutex<HeldState>, Condvar)) -> Option<()> {
         frames::read(&mut stream, false).ok()?;
         let locked = || hold.0.lock().expect("the hold");
-        let wait = |goes: Goes| -> MutexGuard<Hold> {
+        let wait = |goes: Progress| -> MutexGuard<HeldState> {
             hold.1.wait_while(locked(), |hold| hold.goes < goes).expect("the hold")
         };
         locked().connected += 1;
-        drop(wait(Goes::Welcomes));
+        drop(wait(Progress::Welcomes));
         let ready = message(b'Z', b"I");
         stream.write_all(&[message(b'R', &[0; 4]), ready.clone()].concat()).ok()?;
         locked().welcomed += 1;
@@ -320,32 +320,32 @@
             stream.read_exact(&mut first).ok()?;
             let place = {
                 let mut hold = locked();
-                hold.begun.push(Begun::First);
+                hold.begun.push(StatementProgress::First);
                 hold.begun.len() - 1
             };
-            drop(wait(Goes::Reads));
+            drop(wait(Progress::Reads));
             let Ok((_, body)) = frames::read(&mut (&first[..]).chain(&mut stream), true) else {
-                locked().begun[place] = Begun::Torn;
+                locked().begun[place] = StatementProgress::Torn;
                 return None;
             };
-            locked().begun[place] = Begun::Whole(String::from_utf8_lossy(&body).into());
-            let answers = wait(Goes::Throttles).goes == Goes::Answers;
+            locked().begun[place] = StatementProgress::Whole(String::from_utf8_lossy(&body).into());
+            let answers = wait(Progress::Throttles).goes == Progress::Answers;
             let status = if primary { &b"recovery\0off\0"[..] } else { b"recovery\0on\0" };
             let said = if answers { row(b"held") } else { frames::error("53300", "full") };
             stream.write_all(&[said, message(b'S', status), ready.clone()].concat()).ok()?;
         }
     }
 
-    fn look<T>(&self, at: impl FnOnce(&mut Hold) -> T) -> T {
+    fn look<T>(&self, at: impl FnOnce(&mut HeldState) -> T) -> T {
         at(&mut self.hold.0.lock().expect("the hold"))
     }
 
-    pub fn lets(&self, goes: Goes) {
+    pub fn lets(&self, goes: Progress) {
         self.look(|hold| hold.goes = goes);
         self.hold.1.notify_all();
     }
 
-    /// How many connections have brought their startup, and how many have been welcomed.
+    /// Number of connections that have sent their startup, and of those that were answered.
     pub fn connected(&self) -> usize {
         self.look(|hold| hold.connected)
     }
@@ -354,7 +354,7 @@
         self.look(|hold| hold.welcomed)
     }
 
-    pub fn begun(&self) -> Vec<Begun> {
+    pub fn begun(&self) -> Vec<StatementProgress> {
         self.look(|hold| hold.begun.clone())
     }
 }
@@ -371,7 +371,7 @@
     format!(r#"{{"seq":{version},"whole":{whole},"hosts":[{}]}}"#, entries.join(",")).replace('\n', "")
 }
 
-/// Discovery: tells the list that it was given, then each change in a watch, in chunks split anywhere.
+/// A discovery service: serves the given list, then each change in a watch, in chunks split anywhere.
 pub fn discovery(whole: String) -> (SocketAddr, mpsc::Sender<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -410,27 +410,27 @@
 }
 
 impl Gateway {
-    /// Starts the program as `run` would, on a port that was free a moment ago, and waits until it serves.
+    /// Starts the program as `run` would, on a port that was free just before, and waits until it serves.
     pub fn start(program: &str, discovery: SocketAddr) -> Self {
         Gateway::with_sockets(program, discovery, 64)
     }
 
-    /// The same with so many descriptors.
+    /// The same with this limit of descriptors.
     pub fn with_sockets(program: &str, discovery: SocketAddr, sockets: usize) -> Self {
         let gateway = Gateway::launch(program, discovery, sockets, "null");
         gateway.wait_ready();
         gateway
     }
 
-    /// Starts it, with the list that it had last, and does not wait. Each has an address of its own, so that no port is
-    /// given to another one meanwhile.
+    /// Starts it with its last known list, without waiting. Each gateway has an address of its own, so that no other
+    /// test takes the port meanwhile.
     pub fn launch(program: &str, discovery: SocketAddr, sockets: usize, known: &str) -> Self {
         Gateway::run(program, sockets, None, |own| {
             Gateway::config(own, &discovery.to_string(), sockets, known, SETTINGS)
         })
     }
 
-    /// The same with settings of a test's own, for as long as it does not reload.
+    /// The same with the test's own settings, until it reloads.
     pub fn with_settings(program: &str, discovery: SocketAddr, settings: &str) -> Self {
         let gateway = Gateway::run(program, 256, None, |own| {
             Gateway::config(own, &discovery.to_string(), 256, "null", settings)
@@ -439,8 +439,7 @@
         gateway
     }
 
-    /// The same with another configuration than the usual, as `change` makes it, and where the machine grants
-    /// only so many descriptors.
+    /// The same with a configuration modified by `change`, and where the system grants fewer descriptors.
     pub fn launch_as(
         program: &str,
         discovery: SocketAddr,
@@ -453,7 +452,7 @@
         })
     }
 
-    /// The same with these settings, and does not wait.
+    /// The same with these settings, without waiting.
     pub fn launch_set(
         program: &str,
         discovery: SocketAddr,
@@ -492,16 +491,16 @@
         Gateway { address: free, child, config: path, sockets }
     }
 
-    /// Its number as a process.
+    /// Its process id.
     pub fn process(&self) -> u32 {
         self.child.id()
     }
 
     /// Waits until it answers empty queries.
     pub fn wait_ready(&self) {
-        // One that has no list yet, on a busy machine, ends its connections.
-        until("an answer", || {
-            let client = Client::connect(self.address, BOUND);
+        // On a busy machine, one without a list closes its connections.
+        wait_until("an answer", || {
+            let client = Client::connect(self.address, WAIT_TIMEOUT);
             client.is_ok_and(|mut client| client.ask("") == Reply::Empty)
         });
     }
@@ -513,7 +512,7 @@
         )
     }
 
-    /// Names another discovery in the configuration and has it read anew.
+    /// Sets another discovery address in the configuration and reloads it.
     pub fn reload(&self, discovery: &str) {
         let config = Gateway::config(self.address, discovery, self.sockets, "null", SETTINGS);
         std::fs::write(&self.config, config).expect("a file");
@@ -521,10 +520,10 @@
     }
 
     pub fn client(&self) -> Client {
-        Client::connect(self.address, BOUND).expect("the gateway listens")
+        Client::connect(self.address, WAIT_TIMEOUT).expect("the gateway listens")
     }
 
-    /// How much memory it holds now, in bytes.
+    /// Its resident memory in bytes.
     pub fn memory(&self) -> usize {
         let status =
             std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("its status");
@@ -537,20 +536,20 @@
         assert!(sent.expect("a shell").success());
     }
 
-    /// Has it stand still, and waits until it does.
+    /// Pauses the process and waits until it has stopped.
     pub fn pause(&self) {
         self.signal("STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
-        until("the gateway to stand still", || {
+        wait_until("the gateway to stand still", || {
             let stat = std::fs::read_to_string(&stat).expect("its state");
             stat.rsplit(") ").next().is_some_and(|rest| rest.starts_with('T'))
         });
     }
 
-    /// Waits for its end; true: it ended well.
+    /// Waits for its end; returns whether it exited successfully.
     pub fn ended(&mut self) -> bool {
         let mut ended = None;
-        until("the end of the gateway", || {
+        wait_until("the end of the gateway", || {
             ended = self.child.try_wait().expect("its state");
             ended.is_some()
         });
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -1,4 +1,4 @@
-//! Servers on sockets: a thread that listens for each, and one for each connection.
+//! Servers on sockets: a listener thread per server and a thread per connection.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use crate::frames::{error, message, named, read, row, status};
-use crate::store::{Being, Shared, Written, unix_millis};
-use crate::switches::End;
+use crate::store::{Liveness, Shared, WriteResult, unix_millis};
+use crate::switches::SwitchResult;
 
-/// How many times as long a cold server takes.
+/// Factor by which a cold server is slower.
 const COLD: f64 = 4.0;
 
 /// Listens for a server; its address stays the same while it is down.
@@ -24,16 +24,16 @@
             }
             let _ = stream.set_nodelay(true);
             let found = &mut state.servers[server];
-            found.in_vain += u64::from(found.being != Being::Up);
-            if found.being == Being::Down {
-                // As near to a refusal as a listener comes that must keep its port: a reset before any answer.
+            found.in_vain += u64::from(found.being != Liveness::Up);
+            if found.being == Liveness::Down {
+                // Closest to a refusal without giving up the port: a reset before any answer.
                 let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                 continue;
             }
             if let Ok(copy) = stream.try_clone() {
                 found.connections.push(copy);
             }
-            let life = found.life;
+            let life = found.process;
             drop(state);
             let shared = shared.clone();
             std::thread::spawn(move || talk(&shared, server, life, stream));
@@ -42,22 +42,22 @@
     Ok(address)
 }
 
-/// Speaks on one connection until it ends.
+/// Serves a connection until it ends.
 fn talk(shared: &Shared, server: usize, life: u64, mut stream: TcpStream) -> Option<()> {
     read(&mut stream, false).ok()?;
     let ready = message(b'Z', b"I");
     let alive = || {
         let state = shared.lock();
         let found = &state.servers[server];
-        (found.life == life).then_some(found.being)
+        (found.process == life).then_some(found.being)
     };
-    if alive()? == Being::Hung {
+    if alive()? == Liveness::Hung {
         return silent(shared, server, life);
     }
     stream.write_all(&[message(b'R', &[0; 4]), ready.clone()].concat()).ok()?;
     loop {
         let (_, body) = read(&mut stream, true).ok()?;
-        if alive()? == Being::Hung {
+        if alive()? == Liveness::Hung {
             return silent(shared, server, life);
         }
         let statement = String::from_utf8_lossy(&body).into_owned();
@@ -68,19 +68,23 @@
             row(b"1")
         } else if statement.starts_with("INSERT") {
             match insert(shared, server, life, &statement)? {
-                Written::Done(commit) => {
+                WriteResult::Done(commit) => {
                     let bytes = [row(b"\x01"), status("lsn_ms", &commit.to_string())].concat();
                     [bytes, status("recovery", "off")].concat()
                 }
-                Written::Miss => [error("25006", "this is no primary"), status("recovery", "on")].concat(),
-                Written::Broken => return None,
-                Written::Silent => return silent(shared, server, life),
+                WriteResult::Miss => {
+                    [error("25006", "this is no primary"), status("recovery", "on")].concat()
+                }
+                WriteResult::Broken => return None,
+                WriteResult::Silent => return silent(shared, server, life),
             }
         } else if statement.starts_with("SELECT switch") {
             match shared.ordered(&statement) {
-                Some(End::Done | End::Again) => row(b"done"),
-                Some(End::Fenced) => error("55000", "a higher epoch was seen"),
-                Some(End::Unfit | End::Open) => error("22023", "the shard has no such server that runs"),
+                Some(SwitchResult::Done | SwitchResult::Again) => row(b"done"),
+                Some(SwitchResult::Fenced) => error("55000", "a higher epoch was seen"),
+                Some(SwitchResult::Unfit | SwitchResult::Open) => {
+                    error("22023", "the shard has no such server that runs")
+                }
                 None => error("42601", "shard, to and epoch are needed"),
             }
         } else {
@@ -101,22 +105,22 @@
     }
 }
 
-/// Holds a connection open without a word, until the server's life is over.
+/// Keeps a connection open without answering until the server's process ends.
 fn silent(shared: &Shared, server: usize, life: u64) -> Option<()> {
     loop {
         std::thread::sleep(Duration::from_millis(50));
         let state = shared.lock();
-        if state.over || state.servers[server].life != life {
+        if state.over || state.servers[server].process != life {
             return None;
         }
     }
 }
 
-/// Position, as a Unix time in milliseconds, and role, as the server itself sees them.
+/// Position (Unix time in ms) and role as the server itself sees them.
 fn stands(shared: &Shared, server: usize) -> (u64, bool) {
     let state = shared.lock();
     let found = &state.servers[server];
-    let position = match (found.deposed, found.leads) {
+    let position = match (found.replaced, found.leads) {
         (true, _) => found.stuck,
         (false, true) => unix_millis(),
         (false, false) => unix_millis().saturating_sub(found.lag.as_millis() as u64),
@@ -124,17 +128,17 @@
     (position, found.leads)
 }
 
-fn insert(shared: &Shared, server: usize, life: u64, statement: &str) -> Option<Written> {
+fn insert(shared: &Shared, server: usize, life: u64, statement: &str) -> Option<WriteResult> {
     let (id, key) = (named(statement, "id")?, named(statement, "k")?);
     let work = {
         let mut state = shared.lock();
         let part = 0.5 + state.rng.f64();
         let found = &mut state.servers[server];
-        if found.life != life {
+        if found.process != life {
             return None;
         }
-        if !found.leads || found.closing {
-            return Some(Written::Miss);
+        if !found.leads || found.rejecting_writes {
+            return Some(WriteResult::Miss);
         }
         found.busy += 1;
         let cold = found.cold_until.is_some_and(|until| std::time::Instant::now() < until);
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -1,4 +1,4 @@
-//! What the store knows and does: roles, keys, the ledger, and what befalls its servers.
+//! State of the store: roles, keys, the ledger, and faults of its servers.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -10,56 +10,56 @@
 use crate::serve;
 use crate::switches::Switches;
 
-/// How a store is laid out.
+/// Layout and timing of a store.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct StoreConfig {
     pub shards: usize,
-    /// Servers of each shard; the first leads.
+    /// Servers per shard; the first is the primary.
     pub members: usize,
-    /// How long a statement takes, at most and on average half of it more or less.
+    /// Mean duration of a statement; varies by up to half in both directions.
     pub work: Duration,
-    /// How long keys are remembered: the window, and the longest way of a message.
+    /// How long keys are remembered: the window plus the longest transit time.
     pub window: Duration,
-    /// A server that comes back is cold for so long: each statement takes it four times the work.
+    /// How long a restarted server is cold, with four times the duration per statement.
     pub cold: Duration,
-    /// A replica that is further behind sends reads back.
+    /// Lag from which a replica rejects reads.
     pub bound: Duration,
-    /// Nobody leads for so long in a switch that a statement orders.
+    /// Time without a primary in a switch ordered by a statement.
     pub gap: Duration,
     pub seed: u64,
 }
 
-impl Default for Shape {
+impl Default for StoreConfig {
     fn default() -> Self {
         let work = Duration::from_millis(4);
         let (window, cold) = (Duration::from_millis(2_500), Duration::from_millis(500));
         let (bound, gap) = (Duration::from_secs(3), Duration::from_millis(60));
-        Shape { shards: 2, members: 3, work, window, cold, bound, gap, seed: 1 }
+        StoreConfig { shards: 2, members: 3, work, window, cold, bound, gap, seed: 1 }
     }
 }
 
-/// One effect in the ledger.
+/// An effect in the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Row {
+pub struct LedgerRow {
     pub shard: usize,
     pub server: usize,
     pub id: String,
     pub key: String,
-    /// Since the store's start.
+    /// Time since the store's start.
     pub at: Duration,
 }
 
-/// What a killed server does with the write that it holds.
+/// What a killed server does with a write in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Death {
-    /// Nothing is committed any more.
+    /// It is not committed.
     Before,
-    /// It commits, and dies before the answer is out.
+    /// It is committed, and the server dies before the answer.
     AfterCommit,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Being {
+pub(crate) enum Liveness {
     Up,
     Hung,
     Down,
@@ -67,48 +67,48 @@
 
 pub(crate) struct Server {
     pub shard: usize,
-    pub being: Being,
-    /// It takes itself for the primary.
+    pub being: Liveness,
+    /// Whether it considers itself primary.
     pub leads: bool,
-    /// Nobody follows it any more: what it would commit is taken by no replica, so it is never answered.
-    pub deposed: bool,
-    /// Writes that it is at work on.
+    /// Whether it was replaced: no replica acknowledges its commits, so its writes are never answered.
+    pub replaced: bool,
+    /// Number of writes in progress.
     pub busy: usize,
-    /// No new write is taken: a switch is under way.
-    pub closing: bool,
+    /// Whether new writes are rejected because of a switch.
+    pub rejecting_writes: bool,
     pub death: Option<Death>,
-    /// Rises with each death; what began in an earlier life ends with it.
-    pub life: u64,
-    /// How far its log is behind, while it follows.
+    /// Increases with each death; work of an earlier process ends with it.
+    pub process: u64,
+    /// Replication lag while it is a replica.
     pub lag: Duration,
     /// Until when it is cold.
     pub cold_until: Option<Instant>,
-    /// When it stopped, as a Unix time in milliseconds.
+    /// When it hung, as Unix time in ms.
     pub stuck: u64,
     pub connections: Vec<TcpStream>,
-    /// Connections that came while it was down or hung.
+    /// Connections that arrived while it was down or hung.
     pub in_vain: u64,
 }
 
 pub(crate) struct State {
     pub servers: Vec<Server>,
     pub rng: Rng,
-    /// Keys of late, by shard and key, with their last use.
+    /// Recent keys by shard and key, with their last use.
     keys: HashMap<(usize, String), Instant>,
-    pub ledger: Vec<Row>,
-    /// Writes that came again within the window and had no further effect.
+    pub ledger: Vec<LedgerRow>,
+    /// Repeated writes within the window, which had no further effect.
     pub dropped: usize,
-    /// When each shard's newest primary was ready, and when it took its first write after that.
+    /// When each shard's last primary was ready, and the time until its first write.
     pub ready: BTreeMap<usize, (Instant, Option<Duration>)>,
     pub gaps: Vec<Duration>,
     pub(crate) switches: Switches,
-    /// So much longer takes each answer of all servers.
+    /// Additional delay of all answers.
     pub slow: Duration,
     pub over: bool,
 }
 
 pub(crate) struct Shared {
-    pub shape: Shape,
+    pub shape: StoreConfig,
     pub began: Instant,
     pub state: Mutex<State>,
     pub turned: Condvar,
@@ -119,51 +119,51 @@
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// A shard's primary takes no new write, ends what it has, and follows.
-    pub fn give_up(&self, shard: usize) {
+    /// A shard's primary rejects new writes, completes those in progress, and becomes a replica.
+    pub fn step_down(&self, shard: usize) {
         let mut state = self.lock();
         let Some(old) = state.leader(shard) else { return };
-        state.servers[old].closing = true;
+        state.servers[old].rejecting_writes = true;
         let until = Instant::now() + Duration::from_secs(2);
         while state.servers[old].busy > 0 && Instant::now() < until {
             let waited = self.turned.wait_timeout(state, Duration::from_millis(20));
             state = waited.unwrap_or_else(|poisoned| poisoned.into_inner()).0;
         }
         let found = &mut state.servers[old];
-        (found.leads, found.closing) = (false, false);
+        (found.leads, found.rejecting_writes) = (false, false);
     }
 }
 
-/// A Unix time in milliseconds.
+/// Current Unix time in ms.
 pub(crate) fn unix_millis() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
 
-/// What becomes of a write at a server.
-pub(crate) enum Written {
+/// Result of a write at a server.
+pub(crate) enum WriteResult {
     Done(u64),
-    /// This is no primary.
+    /// The server is not the primary.
     Miss,
-    /// No answer ever comes; the connection ends, or stays silent.
+    /// There is no answer: the connection ends or stays silent.
     Broken,
     Silent,
 }
 
 impl State {
-    /// A write is at its end in this server: it is committed, if the server still may.
-    pub fn commit(&mut self, shared: &Shared, server: usize, life: u64, id: &str, key: &str) -> Written {
+    /// Completes a write: commits it if the server still may.
+    pub fn commit(&mut self, shared: &Shared, server: usize, life: u64, id: &str, key: &str) -> WriteResult {
         let found = &mut self.servers[server];
-        found.busy = found.busy.saturating_sub(usize::from(found.life == life));
+        found.busy = found.busy.saturating_sub(usize::from(found.process == life));
         let dying = found.death.take();
-        if found.life != life || dying == Some(Death::Before) {
+        if found.process != life || dying == Some(Death::Before) {
             self.die(server);
-            return Written::Broken;
+            return WriteResult::Broken;
         }
-        if found.deposed {
-            return Written::Silent;
+        if found.replaced {
+            return WriteResult::Silent;
         }
         if !found.leads {
-            return Written::Miss;
+            return WriteResult::Miss;
         }
         let shard = found.shard;
         let now = Instant::now();
@@ -172,7 +172,7 @@
             self.dropped += 1;
         } else {
             let (id, key, at) = (id.into(), key.into(), shared.began.elapsed());
-            self.ledger.push(Row { shard, server, id, key, at });
+            self.ledger.push(LedgerRow { shard, server, id, key, at });
         }
         if let Some((ready, first)) = self.ready.get_mut(&shard)
             && first.is_none()
@@ -182,35 +182,37 @@
         }
         if dying == Some(Death::AfterCommit) {
             self.die(server);
-            return Written::Broken;
+            return WriteResult::Broken;
         }
-        Written::Done(unix_millis())
+        WriteResult::Done(unix_millis())
     }
 
     fn leader(&self, shard: usize) -> Option<usize> {
-        self.servers.iter().position(|s| s.shard == shard && s.leads && !s.deposed && s.being == Being::Up)
+        self.servers
+            .iter()
+            .position(|s| s.shard == shard && s.leads && !s.replaced && s.being == Liveness::Up)
     }
 
-    pub fn crown(&mut self, shard: usize, to: usize) {
+    pub fn set_primary(&mut self, shard: usize, to: usize) {
         for (place, server) in self.servers.iter_mut().enumerate().filter(|(_, s)| s.shard == shard) {
             if place != to && server.leads {
-                server.deposed = true;
+                server.replaced = true;
             }
         }
         let server = &mut self.servers[to];
-        (server.leads, server.deposed) = (true, false);
+        (server.leads, server.replaced) = (true, false);
         self.ready.insert(shard, (Instant::now(), None));
     }
 
     fn die(&mut self, server: usize) {
         let found = &mut self.servers[server];
-        if found.being == Being::Down {
+        if found.being == Liveness::Down {
             return;
         }
-        (found.being, found.busy, found.closing, found.death) = (Being::Down, 0, false, None);
-        (found.life, found.stuck) = (found.life + 1, unix_millis());
+        (found.being, found.busy, found.rejecting_writes, found.death) = (Liveness::Down, 0, false, None);
+        (found.process, found.stuck) = (found.process + 1, unix_millis());
         for stream in found.connections.drain(..) {
-            // As the kernel does for a process that dies: connections are reset.
+            // The kernel resets the connections of a dead process.
             let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
             let _ = stream.shutdown(Shutdown::Both);
         }
@@ -224,17 +226,17 @@
 }
 
 impl Store {
-    pub fn start(shape: Shape) -> std::io::Result<Store> {
+    pub fn start(shape: StoreConfig) -> std::io::Result<Store> {
         let count = shape.shards * shape.members;
         let servers = (0..count).map(|server| Server {
             shard: server / shape.members,
-            being: Being::Up,
+            being: Liveness::Up,
             leads: server % shape.members == 0,
-            deposed: false,
+            replaced: false,
             busy: 0,
-            closing: false,
+            rejecting_writes: false,
             death: None,
-            life: 0,
+            process: 0,
             lag: Duration::ZERO,
             cold_until: None,
             stuck: 0,
@@ -264,40 +266,41 @@
         format!("s{server}")
     }
 
-    /// Who leads a shard in truth.
+    /// The actual primary of a shard.
     pub fn leader(&self, shard: usize) -> Option<usize> {
         self.shared.lock().leader(shard)
     }
 
-    /// A member of the shard that is up and follows.
+    /// A running replica of the shard.
     pub fn follower(&self, shard: usize) -> Option<usize> {
         let state = self.shared.lock();
-        state.servers.iter().position(|s| s.shard == shard && !s.leads && s.being == Being::Up)
+        state.servers.iter().position(|s| s.shard == shard && !s.leads && s.being == Liveness::Up)
     }
 
-    /// A planned switch: the old primary takes no new write, ends what it has, and after `gap` the new one leads.
+    /// Planned switch: the old primary rejects new writes and completes its own, and after `gap` the new one is
+    /// primary.
     pub fn switch(&self, shard: usize, to: usize, gap: Duration) {
-        self.shared.give_up(shard);
+        self.shared.step_down(shard);
         std::thread::sleep(gap);
-        self.crown(shard, to);
+        self.set_primary(shard, to);
     }
 
-    /// A server leads from now on. Whoever led and is down or hung has not heard of it.
-    pub fn crown(&self, shard: usize, to: usize) {
-        self.shared.lock().crown(shard, to);
+    /// Makes a server the primary. A previous primary that is down or hung does not learn of it.
+    pub fn set_primary(&self, shard: usize, to: usize) {
+        self.shared.lock().set_primary(shard, to);
     }
 
-    /// From now on each answer of all servers takes so much longer.
+    /// Delays all answers by this much.
     pub fn slow(&self, by: Duration) {
         self.shared.lock().slow = by;
     }
 
-    /// How long it has run: what its records count from.
+    /// Time since the start, as used in its records.
     pub fn age(&self) -> Duration {
         self.shared.began.elapsed()
     }
 
-    /// Kills a server. With a write in it, that one is committed or not, as `death` says; else at once.
+    /// Kills a server. A write in progress is committed or not according to `death`.
     pub fn kill(&self, server: usize, death: Death) {
         let mut state = self.shared.lock();
         if state.servers[server].busy > 0 && death == Death::AfterCommit {
@@ -307,44 +310,44 @@
         }
     }
 
-    /// From now on a replica's log is so far behind.
+    /// Sets the lag of a replica.
     pub fn lag(&self, server: usize, lag: Duration) {
         self.shared.lock().servers[server].lag = lag;
     }
 
     pub fn hang(&self, server: usize) {
         let mut state = self.shared.lock();
-        (state.servers[server].being, state.servers[server].stuck) = (Being::Hung, unix_millis());
+        (state.servers[server].being, state.servers[server].stuck) = (Liveness::Hung, unix_millis());
     }
 
-    /// Brings a server back: as a replica, or as it was, taking itself for the primary still.
-    pub fn back(&self, server: usize, as_it_was: bool) {
+    /// Restarts a server: as a replica, or unchanged, still considering itself primary.
+    pub fn restart(&self, server: usize, as_it_was: bool) {
         let mut state = self.shared.lock();
         let found = &mut state.servers[server];
-        if found.being == Being::Down {
+        if found.being == Liveness::Down {
             found.cold_until = Some(Instant::now() + self.shared.shape.cold);
         }
-        found.being = Being::Up;
-        if !as_it_was && found.deposed || !found.leads {
-            (found.leads, found.deposed) = (false, false);
+        found.being = Liveness::Up;
+        if !as_it_was && found.replaced || !found.leads {
+            (found.leads, found.replaced) = (false, false);
         }
     }
 
-    /// Connections that came to a server while it was down or hung.
+    /// Connections to a server while it was down or hung.
     pub fn in_vain(&self, server: usize) -> u64 {
         self.shared.lock().servers[server].in_vain
     }
 
-    pub fn ledger(&self) -> Vec<Row> {
+    pub fn ledger(&self) -> Vec<LedgerRow> {
         self.shared.lock().ledger.clone()
     }
 
-    /// Writes that came again within the window and had no further effect.
+    /// Repeated writes within the window, which had no further effect.
     pub fn dropped(&self) -> usize {
         self.shared.lock().dropped
     }
 
-    /// From each new primary's readiness to its first write.
+    /// Times from each new primary's readiness to its first write.
     pub fn gaps(&self) -> Vec<Duration> {
         self.shared.lock().gaps.clone()
     }
@@ -359,7 +362,7 @@
         }
         drop(state);
         for address in &self.addresses {
-            // Wakes the listener, which then ends.
+            // Wakes the listener so that it ends.
             let _ = TcpStream::connect_timeout(address, Duration::from_millis(100));
         }
     }
