--- a/crates/cli/src/accord.rs
+++ b/crates/cli/src/accord.rs
@@ -45,6 +45,7 @@
     }
 }
 
+/// Runs the sub-command.
 pub fn main(line: &Line) -> ExitCode {
     let Command::Diff { old, new, json } = &line.command;
     let found = match read(old).and_then(|old| Ok(compare(&old, &read(new)?))) {
--- a/crates/cli/src/account.rs
+++ b/crates/cli/src/account.rs
@@ -266,6 +266,7 @@
     out
 }
 
+/// Runs the sub-command.
 pub fn run(line: &Line) -> Result<(), String> {
     let (mut account, mut found, mut opened) = (Report::default(), String::new(), [0; 2]);
     for path in line.logs.iter().map(|path| files(path)).collect::<Result<Vec<_>, _>>()?.concat() {
--- a/crates/cli/src/council.rs
+++ b/crates/cli/src/council.rs
@@ -92,6 +92,7 @@
     },
 }
 
+/// Runs the sub-command.
 pub fn run(line: &Line) -> Result<(), String> {
     let (at, word) = match &line.command {
         Command::Found { source, again } => return found_at(source, *again),
--- a/crates/cli/src/demo.rs
+++ b/crates/cli/src/demo.rs
@@ -55,6 +55,7 @@
     }
 }
 
+/// Runs the sub-command.
 pub fn run(line: &Line) -> Result<(), String> {
     let said = |error: std::io::Error| error.to_string();
     let stop = Arc::new(AtomicBool::new(false));
--- a/crates/cli/src/expect.rs
+++ b/crates/cli/src/expect.rs
@@ -89,6 +89,7 @@
     Html,
 }
 
+/// Runs the sub-command.
 pub fn main(line: Line) -> ExitCode {
     let done = match line.command {
         None => line.check.run(),
--- a/crates/cli/src/fellows.rs
+++ b/crates/cli/src/fellows.rs
@@ -21,6 +21,7 @@
     json: bool,
 }
 
+/// Runs the sub-command.
 pub fn run(line: &Line) -> Result<(), String> {
     for path in &line.socket {
         let answer = ask(path, &json!({"do": "fellows"}))?;
--- a/crates/cli/src/handover.rs
+++ b/crates/cli/src/handover.rs
@@ -48,6 +48,7 @@
     Resume { shard: String },
 }
 
+/// Runs the sub-command.
 pub fn run(line: &Line) -> Result<(), String> {
     let word = match &line.command {
         Command::Plan { shard, to } => json!({"do": "plan", "shard": shard, "to": to}),
--- a/crates/cli/src/line.rs
+++ b/crates/cli/src/line.rs
@@ -59,11 +59,13 @@
 }
 
 impl Source {
+    /// Reads the settings file.
     pub fn program(&self) -> Result<ProgramSettings, String> {
         ProgramSettings::open(self.settings.as_deref()).map_err(|fault| fault.to_string())
     }
 }
 
+/// Parses the command line and runs the sub-command.
 pub fn main() -> ExitCode {
     let done = match Line::parse().command {
         Command::Expect(line) => return expect::main(*line),
--- a/crates/cli/src/rig.rs
+++ b/crates/cli/src/rig.rs
@@ -89,6 +89,7 @@
     text
 }
 
+/// Runs the sub-command.
 pub fn run(line: &Line) -> Result<(), String> {
     let program = std::env::current_exe().map_err(|error| error.to_string())?;
     match &line.command {
--- a/crates/council/src/wire.rs
+++ b/crates/council/src/wire.rs
@@ -174,6 +174,7 @@
 }
 
 impl LogRecord {
+    /// Converts an entry of the crate `raft`.
     pub fn of(entry: &Entry) -> LogRecord {
         LogRecord {
             index: entry.index,
@@ -184,6 +185,7 @@
         }
     }
 
+    /// Converts to an entry of the crate `raft`.
     pub fn entry(self) -> Entry {
         let mut entry = Entry { index: self.index, term: self.term, ..Entry::default() };
         let kind = if self.seating { EntryType::EntryConfChange } else { EntryType::EntryNormal };
--- a/crates/expect/src/check.rs
+++ b/crates/expect/src/check.rs
@@ -27,6 +27,7 @@
 }
 
 impl Input {
+    /// Reads all files.
     pub fn open(config: &Path, files: &[PathBuf], settings: Option<&Path>) -> Result<Input, String> {
         let said = |fault: SettingsError| fault.to_string();
         let program = ProgramSettings::open(settings).map_err(said)?;
@@ -36,6 +37,7 @@
         Input::read(subject, files, program.expect, settings_file).map_err(said)
     }
 
+    /// Parses the given configuration and files.
     pub fn read(
         mut subject: Subject,
         files: Vec<Ini>,
@@ -48,6 +50,7 @@
     }
 }
 
+/// Result of checking an expectation.
 #[derive(Clone, Debug)]
 pub enum Verdict {
     Holds,
@@ -66,6 +69,7 @@
     },
 }
 
+/// An expectation with its verdict.
 #[derive(Clone, Debug)]
 pub struct Checked {
     pub name: String,
@@ -85,6 +89,7 @@
 }
 
 impl Report {
+    /// Whether everything holds.
     pub fn holds(&self) -> bool {
         self.faults.is_empty() && self.checked.iter().all(|one| matches!(one.verdict, Verdict::Holds))
     }
--- a/crates/expect/src/contradiction.rs
+++ b/crates/expect/src/contradiction.rs
@@ -23,6 +23,7 @@
     pub fault: SettingsError,
 }
 
+/// Finds all contradictions of a suite.
 pub fn all(subject: &Arc<Subject>, suite: &Suite) -> Vec<Contradiction> {
     let mut found = Vec::new();
     for (place, expectation) in suite.expectations.iter().enumerate() {
--- a/crates/expect/src/expectation.rs
+++ b/crates/expect/src/expectation.rs
@@ -25,6 +25,7 @@
     Within(Micros),
 }
 
+/// What must hold for the commands of an expectation.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub struct Requirements {
     pub only: Option<Scope>,
@@ -58,6 +59,7 @@
     Mutating,
 }
 
+/// Effects by name.
 pub const EFFECTS: [(&str, Stated); 3] =
     [("replayable", Stated::Replayable), ("keyed", Stated::Keyed), ("mutating", Stated::Mutating)];
 
@@ -71,6 +73,7 @@
     }
 }
 
+/// An expectation.
 #[derive(Clone, Debug)]
 pub struct Expectation {
     pub name: String,
--- a/crates/expect/src/explore.rs
+++ b/crates/expect/src/explore.rs
@@ -48,6 +48,7 @@
 }
 
 impl SearchStats {
+    /// Adds the numbers of another search.
     pub fn add(&mut self, other: &SearchStats) {
         self.worlds += other.worlds;
         self.runs += other.runs;
@@ -105,6 +106,7 @@
     pub held: Micros,
 }
 
+/// Result of a search.
 #[derive(Clone, Debug, Default)]
 pub struct SearchResult {
     pub tally: SearchStats,
@@ -446,6 +448,7 @@
         self.latest[place] = self.latest[place].max(Some(at - hand.held.command.arrived));
     }
 
+    /// Merges other observations.
     pub fn add(&mut self, other: &ObservedBehavior) {
         self.first.extend(&other.first);
         self.any.extend(&other.any);
--- a/crates/expect/src/judge.rs
+++ b/crates/expect/src/judge.rs
@@ -21,6 +21,7 @@
 }
 
 impl ViolatedRule {
+    /// Name in reports.
     pub fn name(&self) -> String {
         match self {
             ViolatedRule::Rule(number) => {
@@ -53,6 +54,7 @@
     }
 }
 
+/// A violated rule with an explanation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     pub cause: ViolatedRule,
--- a/crates/expect/src/report/html.rs
+++ b/crates/expect/src/report/html.rs
@@ -8,6 +8,7 @@
 
 const PAGE: &str = include_str!("page.html");
 
+/// Renders the report.
 pub fn html(subject: &Subject, report: &Report) -> Result<String, String> {
     let mut environment = Environment::new();
     environment.add_template("page.html", PAGE).map_err(|error| error.to_string())?;
--- a/crates/expect/src/report/json.rs
+++ b/crates/expect/src/report/json.rs
@@ -33,6 +33,7 @@
     })
 }
 
+/// Renders the report.
 pub fn json(subject: &Subject, report: &Report) -> Json {
     let checked = report.checked.iter().map(|one| {
         let run = match &one.verdict {
--- a/crates/expect/src/report/junit.rs
+++ b/crates/expect/src/report/junit.rs
@@ -6,6 +6,7 @@
 use crate::report::{narrate, tally, why, word};
 use crate::subject::Subject;
 
+/// Renders the report.
 pub fn junit(subject: &Subject, report: &Report) -> Result<String, String> {
     let mut suite = TestSuite::new(report.config.clone());
     let failure = |kind: &str, message: &str, text: String| {
--- a/crates/expect/src/report/text.rs
+++ b/crates/expect/src/report/text.rs
@@ -19,6 +19,7 @@
     )
 }
 
+/// Renders the report.
 pub fn text(subject: &Subject, report: &Report) -> String {
     let mut out = String::new();
     let (mut failed, mut open) = (0, 0);
--- a/crates/expect/src/saved.rs
+++ b/crates/expect/src/saved.rs
@@ -48,6 +48,7 @@
     pub broken: Option<Violation>,
 }
 
+/// Repeats a saved run.
 pub fn replay(saved: &Json) -> Result<Replayed, String> {
     let missing = |key: &str| format!("'{key}' is missing or of another form");
     if saved["tansyjunction_run"].as_u64() != Some(VERSION) {
--- a/crates/expect/src/scope.rs
+++ b/crates/expect/src/scope.rs
@@ -7,6 +7,7 @@
 use crate::subject::Subject;
 use crate::truth::{ActualState, CONDITIONS, Condition};
 
+/// A word of a scope.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Term {
     Any,
@@ -27,6 +28,7 @@
     Listed,
 }
 
+/// A set of servers, with its text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Scope {
     pub text: String,
@@ -40,6 +42,7 @@
 ];
 
 impl Scope {
+    /// Parses a scope.
     pub fn read(text: &str, subject: &Subject) -> Result<Scope, String> {
         let phrases = list(text)?;
         let phrases = phrases.iter().map(|phrase| read_phrase(phrase, subject));
@@ -122,6 +125,7 @@
     Ok(terms)
 }
 
+/// Index of a zone by name.
 pub fn zone(subject: &Subject, name: &str) -> Result<usize, String> {
     let found = subject.zones.iter().position(|zone| zone == name);
     found.ok_or_else(|| {
@@ -129,12 +133,14 @@
     })
 }
 
+/// Index of a server by name.
 pub fn server(subject: &Subject, name: &str) -> Result<usize, String> {
     let found = subject.servers.iter().position(|server| server.name == name);
     let names = subject.servers.iter().map(|server| server.name.as_str());
     found.ok_or_else(|| format!("'{name}': {}", unknown("server", name, names)))
 }
 
+/// Index of a shard by name.
 pub fn shard(subject: &Subject, name: &str) -> Result<usize, String> {
     let found = subject.shards.iter().position(|shard| shard == name);
     found.ok_or_else(|| {
@@ -142,6 +148,7 @@
     })
 }
 
+/// Index of a command group by name.
 pub fn command_group(subject: &Subject, name: &str) -> Result<usize, String> {
     let names = || subject.command_groups.iter().map(|group| group.name.as_str());
     let found = names().position(|group| group == name);
--- a/crates/expect/src/state.rs
+++ b/crates/expect/src/state.rs
@@ -17,6 +17,7 @@
 /// When the primary changes in the state of that name, after the command's arrival.
 const CHANGES_AFTER: Micros = 5_000;
 
+/// A state that expectations may name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum State {
     Calm,
@@ -38,6 +39,7 @@
     Named(usize),
 }
 
+/// Known states by name.
 pub const STATES: [(&str, State); 15] = [
     ("calm", State::Calm),
     ("new", State::New),
--- a/crates/expect/src/subject.rs
+++ b/crates/expect/src/subject.rs
@@ -17,6 +17,7 @@
     Any,
 }
 
+/// Effect of repeating a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Replayable,
@@ -25,6 +26,7 @@
     Mutating,
 }
 
+/// Where repeats of a keyed command are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Within {
     All,
@@ -41,6 +43,7 @@
     Wait(Micros),
 }
 
+/// Settings of a command group.
 #[derive(Clone, Debug)]
 pub struct CommandGroup {
     pub name: String,
@@ -52,11 +55,13 @@
 }
 
 impl CommandGroup {
+    /// Whether its commands are writes.
     pub fn writes(&self) -> bool {
         self.need == Need::Write
     }
 }
 
+/// A server as configured.
 #[derive(Clone, Debug)]
 pub struct ServerFacts {
     pub name: String,
@@ -90,6 +95,7 @@
     pub round: Micros,
 }
 
+/// The configuration that is checked.
 #[derive(Clone, Debug)]
 pub struct Subject {
     /// Path of the file.
@@ -105,6 +111,7 @@
 }
 
 impl Subject {
+    /// Reads a configuration file.
     pub fn open(path: &Path) -> Result<Subject, String> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|error| format!("{file}: {error}"))?;
@@ -184,6 +191,7 @@
         Ok(())
     }
 
+    /// Servers of a shard.
     pub fn members(&self, shard: usize) -> impl Iterator<Item = usize> + '_ {
         (0..self.servers.len()).filter(move |server| self.servers[*server].shard == shard)
     }
--- a/crates/expect/src/truth.rs
+++ b/crates/expect/src/truth.rs
@@ -21,6 +21,7 @@
     Full,
 }
 
+/// Conditions by name.
 pub const CONDITIONS: [(&str, Condition); 6] = [
     ("well", Condition::Well),
     ("hung", Condition::Hung),
@@ -38,6 +39,7 @@
     Nothing,
 }
 
+/// Actual state of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ActualState {
     /// State in the list, and since when (on the simulation's clock, in microseconds).
@@ -65,6 +67,7 @@
         if self.primary { now } else { now.saturating_sub(self.lag) }
     }
 
+    /// Whether it started less than `cold` ago.
     pub fn cold(&self, now: Micros, cold: Micros) -> bool {
         self.started.is_some_and(|started| now < started + cold)
     }
@@ -99,10 +102,12 @@
 ];
 
 impl DispatchFate {
+    /// Name in expectations.
     pub fn word(self) -> &'static str {
         FAULTS.iter().find(|(_, fault)| *fault == self).map_or("answer", |(word, _)| word)
     }
 
+    /// The dispatch end that the router is told.
     pub fn ending(self) -> DispatchEnd {
         match self {
             DispatchFate::Answer | DispatchFate::Slow | DispatchFate::Change => DispatchEnd::Answered,
--- a/crates/expect/src/world.rs
+++ b/crates/expect/src/world.rs
@@ -78,6 +78,7 @@
     pub what: What,
 }
 
+/// An event of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub enum What {
     Arrives {
@@ -142,6 +143,7 @@
     pub changes: Vec<(Micros, Change)>,
 }
 
+/// A simulation with its router.
 #[derive(Clone)]
 pub struct World<S> {
     pub subject: Arc<Subject>,
--- a/crates/fellows/src/evidence.rs
+++ b/crates/fellows/src/evidence.rs
@@ -42,6 +42,7 @@
 }
 
 impl Fact {
+    /// The kind of this fact.
     pub fn kind(self) -> FactKind {
         match self {
             Fact::Answers | Fact::Refuses | Fact::Hangs => FactKind::Reach,
@@ -188,10 +189,12 @@
         gone.iter().for_each(|key| self.remove(key));
     }
 
+    /// Number of items.
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
+    /// Whether there are no items.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
--- a/crates/fellows/src/gossip_node.rs
+++ b/crates/fellows/src/gossip_node.rs
@@ -94,6 +94,7 @@
 }
 
 impl GossipNode {
+    /// Creates the node of a gateway; `seed` randomizes its choices.
     pub fn new(
         now: Micros,
         me: GatewayIdentity,
@@ -122,14 +123,17 @@
         }
     }
 
+    /// The membership.
     pub fn members(&self) -> &SwimMembership {
         &self.members
     }
 
+    /// The evidence.
     pub fn evidence(&self) -> &EvidenceStore {
         &self.evidence
     }
 
+    /// Counters of datagrams.
     pub fn counts(&self) -> &DatagramCounts {
         &self.counts
     }
--- a/crates/fellows/src/health.rs
+++ b/crates/fellows/src/health.rs
@@ -17,6 +17,7 @@
 }
 
 impl LocalHealth {
+    /// Starts healthy.
     pub fn new(now: Micros) -> Self {
         LocalHealth { score: 0, last_heard: now }
     }
--- a/crates/fellows/src/membership.rs
+++ b/crates/fellows/src/membership.rs
@@ -189,6 +189,7 @@
         }
     }
 
+    /// This gateway's own identity.
     pub fn me(&self) -> &GatewayIdentity {
         self.swim.identity()
     }
@@ -198,6 +199,7 @@
         self.figures.routes.get(&to.name).copied().unwrap_or(to.address)
     }
 
+    /// This gateway's health score.
     pub fn health(&self) -> u32 {
         self.health.score()
     }
@@ -222,6 +224,7 @@
         std::mem::take(&mut self.out)
     }
 
+    /// Takes the events since the last call.
     pub fn take_events(&mut self) -> Vec<MembershipEvent> {
         std::mem::take(&mut self.news)
     }
--- a/crates/fellows/src/seal.rs
+++ b/crates/fellows/src/seal.rs
@@ -120,6 +120,7 @@
         name.len() + 2 + 3 * 10 + TAG_BYTES
     }
 
+    /// Seals a datagram body.
     pub fn seal(&mut self, now: Micros, body: &[u8]) -> Vec<u8> {
         self.count += 1;
         let sent = now.saturating_sub(self.began) / MILLI;
--- a/crates/fellows/src/seeded_faults.rs
+++ b/crates/fellows/src/seeded_faults.rs
@@ -2,6 +2,7 @@
 
 use std::cell::Cell;
 
+/// A fault that can be activated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SeededFault {
     AgesBeginAnew,
--- a/crates/gateway/src/council/fault.rs
+++ b/crates/gateway/src/council/fault.rs
@@ -21,6 +21,7 @@
 }
 
 impl StartError {
+    /// What an operator can do about it.
     pub fn remedy(&self) -> &'static str {
         match self {
             StartError::NoStore { .. } => "name a folder in 'store', or take the gateway out of 'seats'",
@@ -79,6 +80,7 @@
 }
 
 impl RequestError {
+    /// What an operator can do about it.
     pub fn remedy(&self) -> &'static str {
         match self {
             RequestError::Off => "set 'enabled' of [council], and start the gateway anew",
@@ -126,6 +128,7 @@
 }
 
 impl SwitchError {
+    /// What an operator can do about it.
     pub fn remedy(&self) -> &'static str {
         match self {
             SwitchError::NoAddress(_) => "see whether discovery lists the server",
--- a/crates/gateway/src/council/words.rs
+++ b/crates/gateway/src/council/words.rs
@@ -26,6 +26,7 @@
 }
 
 impl PendingRequest {
+    /// Answers the request with the outcome of its proposal.
     pub fn decided(self, register: &SharedState, outcome: Result<(u64, Outcome), ProposalError>) {
         let answer = match outcome {
             Ok((index, Outcome::Done { at })) => Ok(json!({ "ok": true, "version": at, "index": index })),
--- a/crates/gateway/src/gateway/company.rs
+++ b/crates/gateway/src/gateway/company.rs
@@ -43,6 +43,7 @@
 }
 
 impl Membership {
+    /// When the membership needs its next call.
     pub fn next(&self) -> Micros {
         self.fellows.next_due().min(self.advise_due)
     }
@@ -58,6 +59,7 @@
         opinion::unreliable_observers(self.fellows.evidence()).contains(gateway)
     }
 
+    /// The membership.
     pub fn members(&self) -> &SwimMembership {
         self.fellows.members()
     }
--- a/crates/gateway/src/gateway/due.rs
+++ b/crates/gateway/src/gateway/due.rs
@@ -182,6 +182,7 @@
         self.reconnect_discovery();
     }
 
+    /// Whether the gateway has finished its shutdown.
     pub fn is_finished(&self) -> bool {
         self.listener.is_none() && self.clients.count() == 0
     }
--- a/crates/gateway/src/gateway/scout.rs
+++ b/crates/gateway/src/gateway/scout.rs
@@ -20,6 +20,7 @@
 }
 
 impl SharedProbing {
+    /// Creates the state; `word_most` is the largest age of the holder's results.
     pub fn new(word_most: Micros) -> Self {
         SharedProbing {
             scout: ProbeDelegation::new(word_most),
--- a/crates/gateway/src/gateway/servers.rs
+++ b/crates/gateway/src/gateway/servers.rs
@@ -60,44 +60,44 @@
     }
 
     pub(super) fn connection_timeout(&mut self, key: u64, due: Micros) {
-        if let Some(line) = self.servers.get(key) {
-            line.due.set(&mut self.due, Due::Line(key), due);
+        if let Some(connection) = self.servers.get(key) {
+            connection.due.set(&mut self.due, Due::Line(key), due);
         }
     }
 
     pub(super) fn connection_ready(&mut self, key: u64, readiness: Readiness) {
-        let Some(line) = self.servers.get(key) else { return };
-        if line.protocol.phase == Phase::Connecting {
-            if let Ok(Some(error)) | Err(error) = line.stream.take_error() {
-                line.reopened |= error.kind() == std::io::ErrorKind::ConnectionRefused;
+        let Some(connection) = self.servers.get(key) else { return };
+        if connection.protocol.phase == Phase::Connecting {
+            if let Ok(Some(error)) | Err(error) = connection.stream.take_error() {
+                connection.reopened |= error.kind() == std::io::ErrorKind::ConnectionRefused;
                 self.end_connection(key, DispatchEnd::Unconnected);
                 return;
             }
-            if !readiness.writable || line.stream.peer_addr().is_err() {
+            if !readiness.writable || connection.stream.peer_addr().is_err() {
                 return;
             }
-            line.protocol.phase = Phase::Starting;
-            if line.outbox.write(&line.stream, &[frames::START]).is_err() {
+            connection.protocol.phase = Phase::Starting;
+            if connection.outbox.write(&connection.stream, &[frames::START]).is_err() {
                 self.end_connection(key, DispatchEnd::Unconnected);
                 return;
             }
-        } else if readiness.writable && !line.outbox.is_empty() {
+        } else if readiness.writable && !connection.outbox.is_empty() {
             let now = self.clock.now();
             if !self.may_write_job(key) {
                 return;
             }
-            let Some(line) = self.servers.get(key) else { return };
-            if line.outbox.flush(&line.stream).is_err() {
+            let Some(connection) = self.servers.get(key) else { return };
+            if connection.outbox.flush(&connection.stream).is_err() {
                 self.end_connection(key, DispatchEnd::Reset);
                 return;
             }
-            if line.outbox.is_empty() && line.protocol.phase == Phase::Busy {
+            if connection.outbox.is_empty() && connection.protocol.phase == Phase::Busy {
                 self.on_written(key, now);
             }
         }
-        let Some(line) = self.servers.get(key) else { return };
+        let Some(connection) = self.servers.get(key) else { return };
         if readiness.readable {
-            line.read();
+            connection.read();
         }
         self.read_connection(key);
     }
@@ -105,22 +105,22 @@
     pub(super) fn read_connection(&mut self, key: u64) {
         let now = self.clock.now();
         loop {
-            let Some(line) = self.servers.get(key) else { return };
-            match line.protocol.next_event(now) {
+            let Some(connection) = self.servers.get(key) else { return };
+            match connection.protocol.next_event(now) {
                 Event::Ready => {
-                    let due = line.job_due;
+                    let due = connection.job_due;
                     self.connection_timeout(key, due);
                     self.write_job(key);
                 }
                 Event::Answer(parts) => {
-                    if let Some(Job::Command { command, .. }) = line.job {
+                    if let Some(Job::Command { command, .. }) = connection.job {
                         self.forward_answer(key, command, &parts);
                     }
                 }
                 Event::Done => {
                     // After a rejection of a half-written statement, the rest must not be written to the idle
                     // connection while the command is placed again.
-                    let ended = line.ended || !line.outbox.is_empty();
+                    let ended = connection.ended || !connection.outbox.is_empty();
                     self.finish_job(key, DispatchEnd::Reset);
                     if ended {
                         self.close_connection(key);
@@ -128,7 +128,7 @@
                         self.set_idle(key);
                     }
                 }
-                Event::Nothing if !line.ended => return,
+                Event::Nothing if !connection.ended => return,
                 Event::Nothing => {
                     self.end_connection(key, DispatchEnd::Reset);
                     return;
@@ -144,13 +144,13 @@
     /// Closes a connection after invalid data, which is no evidence against its server. The job's result is discarded
     /// with it; an earlier complete answer stays. Invalid answers must not take out one server after the other.
     pub(super) fn close_invalid(&mut self, key: u64) {
-        let Some(line) = self.servers.get(key) else { return };
-        let started = matches!(line.protocol.phase, Phase::Ready | Phase::Busy);
-        if started && line.protocol.said.ending.is_none() {
+        let Some(connection) = self.servers.get(key) else { return };
+        let started = matches!(connection.protocol.phase, Phase::Ready | Phase::Busy);
+        if started && connection.protocol.said.ending.is_none() {
             warn!(target: "servers", "invalid data from a server");
-            line.protocol.said = ServerAnswer::default();
+            connection.protocol.said = ServerAnswer::default();
         }
-        let ending = match line.job {
+        let ending = match connection.job {
             _ if !started => DispatchEnd::Reset,
             Some(Job::Probe) => DispatchEnd::Recalled,
             _ => DispatchEnd::Errored,
@@ -164,9 +164,11 @@
     /// a connection with a part of it closes.
     pub(super) fn may_write_job(&mut self, key: u64) -> bool {
         let now = self.clock.now();
-        let Some(line) = self.servers.get(key).filter(|line| line.written.is_none()) else { return true };
-        let Some(Job::Command { command, dispatch }) = line.job else { return true };
-        let server = line.server;
+        let Some(connection) = self.servers.get(key).filter(|connection| connection.written.is_none()) else {
+            return true;
+        };
+        let Some(Job::Command { command, dispatch }) = connection.job else { return true };
+        let server = connection.server;
         let may = self.command_is_awaited(command)
             && self.handover_allows(command, server)
             && self.commands.may_write(&mut self.router, now, command, dispatch);
@@ -185,16 +187,16 @@
 
     /// Records that a statement was completely written.
     fn on_written(&mut self, key: u64, now: Micros) {
-        let Some(line) = self.servers.get(key) else { return };
-        line.written = Some(now);
-        if let Some(Job::Command { command, dispatch }) = line.job {
+        let Some(connection) = self.servers.get(key) else { return };
+        connection.written = Some(now);
+        if let Some(Job::Command { command, dispatch }) = connection.job {
             self.commands.on_written(command, dispatch, now);
         }
     }
 
     /// Writes the statement of a connection's job.
     pub(super) fn write_job(&mut self, key: u64) {
-        if self.servers.get(key).is_some_and(|line| line.ended) {
+        if self.servers.get(key).is_some_and(|connection| connection.ended) {
             // Written to a connection that ended after its startup, a statement would count as possibly executed.
             self.end_connection(key, DispatchEnd::Unconnected);
             return;
@@ -203,29 +205,29 @@
             return;
         }
         let now = self.clock.now();
-        let Some(line) = self.servers.get(key) else { return };
-        let due = line.job_due;
-        let written = match line.job {
+        let Some(connection) = self.servers.get(key) else { return };
+        let due = connection.job_due;
+        let written = match connection.job {
             Some(Job::Command { command, .. }) => {
                 let Some(client) = self.clients.waiting_for(command) else { return };
                 let Some(in_hand) = &client.in_hand else { return };
                 let message = &client.inbox.rest()[..in_hand.length];
                 let wait = new_wait(message, &in_hand.wait_at, (due.saturating_sub(now) / 1_000).max(1));
                 let parts = rewritten(message, &in_hand.wait_at, &wait);
-                let Some(line) = self.servers.get(key) else { return };
-                line.outbox.write(&line.stream, &parts)
+                let Some(connection) = self.servers.get(key) else { return };
+                connection.outbox.write(&connection.stream, &parts)
             }
             Some(Job::Probe) => {
                 let probe = if self.deployment.reports { frames::REPORT_PROBE } else { frames::PROBE };
-                line.outbox.write(&line.stream, &[probe])
+                connection.outbox.write(&connection.stream, &[probe])
             }
             None => return,
         };
-        let Some(line) = self.servers.get(key) else { return };
-        line.protocol.phase = Phase::Busy;
+        let Some(connection) = self.servers.get(key) else { return };
+        connection.protocol.phase = Phase::Busy;
         if written.is_err() {
             self.end_connection(key, DispatchEnd::Unconnected);
-        } else if line.outbox.is_empty() {
+        } else if connection.outbox.is_empty() {
             self.on_written(key, now);
         }
     }
@@ -233,8 +235,10 @@
     /// Sends a complete answer to the client that waits for it.
     pub(super) fn forward_answer(&mut self, key: u64, command: u64, parts: &[std::ops::Range<usize>]) {
         let Gateway { clients, servers, .. } = self;
-        let (Some(line), Some(client)) = (servers.get(key), clients.waiting_for(command)) else { return };
-        let rest = line.protocol.inbox.rest();
+        let (Some(connection), Some(client)) = (servers.get(key), clients.waiting_for(command)) else {
+            return;
+        };
+        let rest = connection.protocol.inbox.rest();
         let mut bytes: Vec<&[u8]> = parts.iter().map(|part| &rest[part.clone()]).collect();
         bytes.push(frames::READY);
         let written = client.answer(&bytes);
@@ -244,10 +248,10 @@
 
     /// Reports the end of a connection's job to the router: as the server answered, or else `ending`.
     pub(super) fn finish_job(&mut self, key: u64, ending: DispatchEnd) {
-        let Some(line) = self.servers.get(key) else { return };
-        let said = std::mem::take(&mut line.protocol.said);
-        let (server, written) = (line.server, line.written);
-        let ending = said.ending_by(line.job == Some(Job::Probe), written.is_some(), ending);
+        let Some(connection) = self.servers.get(key) else { return };
+        let said = std::mem::take(&mut connection.protocol.said);
+        let (server, written) = (connection.server, connection.written);
+        let ending = said.ending_by(connection.job == Some(Job::Probe), written.is_some(), ending);
         if let Some(job) = self.servers.finish(key) {
             self.job_ended(server, job, ending, said, written);
         }
@@ -278,8 +282,8 @@
     /// Makes a connection idle.
     pub(super) fn set_idle(&mut self, key: u64) {
         let now = self.clock.now();
-        if let Some(line) = self.servers.get(key) {
-            line.idle_since = now;
+        if let Some(connection) = self.servers.get(key) {
+            connection.idle_since = now;
         }
         self.connection_timeout(key, now + (self.deployment.idle_for as f64 * IDLE_TIME_SHARE) as Micros);
         self.servers.set_idle(key);
@@ -296,20 +300,20 @@
     /// Opens a connection once more that broke before its statement was written. A server may reset some new
     /// connections; one that is gone refuses them.
     pub(super) fn reopen(&mut self, key: u64, ending: DispatchEnd) -> bool {
-        let Some(line) = self.servers.get(key) else { return false };
+        let Some(connection) = self.servers.get(key) else { return false };
         let broke = matches!(ending, DispatchEnd::Unconnected | DispatchEnd::Reset)
-            && line.protocol.said.ending.is_none();
-        let new = matches!(line.protocol.phase, Phase::Connecting | Phase::Starting | Phase::Ready);
-        if !broke || !new || line.reopened {
+            && connection.protocol.said.ending.is_none();
+        let new = matches!(connection.protocol.phase, Phase::Connecting | Phase::Starting | Phase::Ready);
+        if !broke || !new || connection.reopened {
             return false;
         }
-        let (server, due) = (line.server, line.job_due);
+        let (server, due) = (connection.server, connection.job_due);
         let Some(job) = self.servers.finish(key) else { return false };
         self.close_connection(key);
         match self.start_job(server, job, self.clock.now(), due) {
             Ok(key) => {
-                if let Some(line) = self.servers.get(key) {
-                    line.reopened = true;
+                if let Some(connection) = self.servers.get(key) {
+                    connection.reopened = true;
                 }
             }
             Err(ending) => self.job_ended(server, job, ending, ServerAnswer::default(), None),
@@ -319,8 +323,8 @@
 
     /// Closes a server connection; the only place that does.
     pub(super) fn close_connection(&mut self, key: u64) {
-        if let Some(line) = self.servers.remove(key) {
-            self.handle.remove(line.token);
+        if let Some(connection) = self.servers.remove(key) {
+            self.handle.remove(connection.token);
         }
     }
 }
--- a/crates/gateway/src/memory/servers.rs
+++ b/crates/gateway/src/memory/servers.rs
@@ -57,7 +57,7 @@
             return Vec::new();
         }
         let mut worthless = known.idle.clone();
-        worthless.extend(self.unwritten(|line| line.server == server));
+        worthless.extend(self.unwritten(|connection| connection.server == server));
         worthless
     }
 
@@ -103,9 +103,10 @@
         self.servers.get(&server)?.address
     }
 
-    pub fn add(&mut self, key: u64, line: ServerConnection) {
-        self.servers.entry(line.server).or_default().connection_count += 1;
-        self.connections.insert(key, line);
+    /// Adds a connection.
+    pub fn add(&mut self, key: u64, connection: ServerConnection) {
+        self.servers.entry(connection.server).or_default().connection_count += 1;
+        self.connections.insert(key, connection);
     }
 
     /// Access to a connection.
@@ -120,11 +121,11 @@
 
     /// Assigns a job to a connection, with its timeout; it must have none.
     pub fn begin(&mut self, key: u64, job: Job, due: Micros) {
-        let Some(line) = self.connections.get_mut(&key) else { return };
-        line.job = Some(job);
-        line.job_due = due;
-        line.protocol.said = Default::default();
-        line.written = None;
+        let Some(connection) = self.connections.get_mut(&key) else { return };
+        connection.job = Some(job);
+        connection.job_due = due;
+        connection.protocol.said = Default::default();
+        connection.written = None;
         if let Job::Command { command, dispatch } = job {
             self.by_dispatch.insert((command, dispatch), key);
         }
@@ -141,9 +142,12 @@
 
     /// Limits the timeout of all jobs; returns the connections whose job had a later one.
     pub fn limit_timeouts(&mut self, until: Micros) -> Vec<u64> {
-        let late = self.connections.iter_mut().filter(|(_, line)| line.job.is_some() && line.job_due > until);
-        late.map(|(key, line)| {
-            line.job_due = until;
+        let late = self
+            .connections
+            .iter_mut()
+            .filter(|(_, connection)| connection.job.is_some() && connection.job_due > until);
+        late.map(|(key, connection)| {
+            connection.job_due = until;
             *key
         })
         .collect()
@@ -151,9 +155,11 @@
 
     /// Connections whose statement is not completely written.
     pub fn unwritten(&self, of: impl Fn(&ServerConnection) -> bool) -> Vec<u64> {
-        let command = |line: &ServerConnection| matches!(line.job, Some(Job::Command { .. }));
-        let waits = |line: &ServerConnection| line.written.is_none() && command(line) && of(line);
-        self.connections.iter().filter(|(_, line)| waits(line)).map(|(key, _)| *key).collect()
+        let command = |connection: &ServerConnection| matches!(connection.job, Some(Job::Command { .. }));
+        let waits = |connection: &ServerConnection| {
+            connection.written.is_none() && command(connection) && of(connection)
+        };
+        self.connections.iter().filter(|(_, connection)| waits(connection)).map(|(key, _)| *key).collect()
     }
 
     /// Connection of a dispatch in flight.
@@ -163,8 +169,8 @@
 
     /// Makes a connection idle.
     pub fn set_idle(&mut self, key: u64) {
-        let Some(line) = self.connections.get(&key) else { return };
-        self.servers.entry(line.server).or_default().idle.push(key);
+        let Some(connection) = self.connections.get(&key) else { return };
+        self.servers.entry(connection.server).or_default().idle.push(key);
     }
 
     /// Takes an idle connection to a server: the most recently used one, or the least.
@@ -182,18 +188,18 @@
     /// The least recently used idle connection of any server.
     pub fn least_recently_used(&self) -> Option<u64> {
         let oldest = self.servers.values().filter_map(|server| server.idle.first());
-        oldest.copied().min_by_key(|key| self.connections.get(key).map(|line| line.idle_since))
+        oldest.copied().min_by_key(|key| self.connections.get(key).map(|connection| connection.idle_since))
     }
 
     /// Removes a connection.
     pub fn remove(&mut self, key: u64) -> Option<ServerConnection> {
         self.finish(key);
-        let line = self.connections.remove(&key)?;
-        if let Some(server) = self.servers.get_mut(&line.server) {
+        let connection = self.connections.remove(&key)?;
+        if let Some(server) = self.servers.get_mut(&connection.server) {
             server.idle.retain(|idle| *idle != key);
             server.connection_count -= 1;
         }
-        Some(line)
+        Some(connection)
     }
 }
 
--- a/crates/gateway/src/wire/frames.rs
+++ b/crates/gateway/src/wire/frames.rs
@@ -3,14 +3,18 @@
 /// Bytes before the body of a message: type and length.
 pub const HEADER_BYTES: usize = 5;
 
+/// ReadyForQuery, idle.
 pub const READY: &[u8] = b"Z\0\0\0\x05I";
+/// EmptyQueryResponse.
 pub const EMPTY_QUERY: &[u8] = b"I\0\0\0\x04";
 /// AuthenticationOk and the parameters that drivers expect at startup.
 pub const WELCOME: &[u8] = b"R\0\0\0\x08\0\0\0\0\
     S\0\0\0\x18server_version\x0015.0\0\
     S\0\0\0\x19client_encoding\0UTF8\0\
     S\0\0\0\x23standard_conforming_strings\0on\0";
+/// Probe statement without a load report.
 pub const PROBE: &[u8] = b"Q\0\0\0\x0dSELECT 1\0";
+/// Probe statement that returns a load report.
 pub const REPORT_PROBE: &[u8] = b"Q\0\0\0\x10SHOW health\0";
 /// Startup message to a server: user svc, database main.
 pub const START: &[u8] = b"\0\0\0\x20\0\x03\0\0user\0svc\0database\0main\0\0";
--- a/crates/handover/src/held_writes.rs
+++ b/crates/handover/src/held_writes.rs
@@ -20,10 +20,12 @@
 }
 
 impl HeldWrites {
+    /// Number of held writes.
     pub fn len(&self) -> usize {
         self.writes.len()
     }
 
+    /// Whether no write is held.
     pub fn is_empty(&self) -> bool {
         self.writes.is_empty()
     }
--- a/crates/rig/src/duties.rs
+++ b/crates/rig/src/duties.rs
@@ -33,6 +33,7 @@
     Stopped,
 }
 
+/// An action on a process, with its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct ActionRecord {
     pub at: u64,
@@ -114,6 +115,7 @@
 const END_EVENTS: [&str; 4] = ["lapsed", "revoked", "released", "handed-on"];
 
 impl History {
+    /// Sorts all parts by time.
     pub fn sort(&mut self) {
         self.lines.sort_by_key(|line| line.at);
         self.acts.sort_by_key(|acted| acted.at);
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -238,11 +238,13 @@
         self.acted(number, ProcessAction::Paused);
     }
 
+    /// Resumes a paused process.
     pub fn go_on(&self, number: usize) {
         self.acted(number, ProcessAction::WentOn);
         self.signal(number, Signal::SIGCONT);
     }
 
+    /// Kills a process with SIGKILL.
     pub fn kill(&mut self, number: usize) {
         if let Some(mut child) = self.gateways[number].child.take() {
             let _ = child.kill();
--- a/crates/rig/src/ground.rs
+++ b/crates/rig/src/ground.rs
@@ -222,6 +222,7 @@
         self.update_links();
     }
 
+    /// Ends all faults of the links.
     pub fn heal(&mut self) {
         self.ways.clear();
         self.update_links();
@@ -244,6 +245,7 @@
         self.apply_link_fault(FaultKind::Cut { from, to: vec![who] });
     }
 
+    /// All gateways but one.
     pub fn others(&self, who: usize) -> Vec<usize> {
         (0..self.plan.gateways).filter(|other| *other != who).collect()
     }
@@ -302,6 +304,7 @@
 
     // Observations.
 
+    /// All log lines of the consensus, by time.
     pub fn lines(&self) -> Vec<LogLine> {
         let all = (0..self.plan.gateways).flat_map(|number| read(number, &self.fleet.log(number)));
         let mut lines: Vec<LogLine> = all.collect();
@@ -348,6 +351,7 @@
         asked.filter_map(|number| leads(&number)).max().map(|(_, number)| number)
     }
 
+    /// Number of voting members.
     pub fn seats(&self) -> usize {
         self.plan.council.as_ref().map_or(0, |council| council.seats)
     }
--- a/crates/rig/src/run.rs
+++ b/crates/rig/src/run.rs
@@ -136,6 +136,7 @@
         self.plan.faults.iter().any(|fault| fault.at_ms == self.moment)
     }
 
+    /// Whether this is the end of a fault.
     pub fn ends(&self) -> bool {
         self.plan.faults.iter().any(|fault| fault.ends() == self.moment)
     }
--- a/crates/settings/src/program.rs
+++ b/crates/settings/src/program.rs
@@ -356,6 +356,7 @@
         path.map_or(Ok(ProgramSettings::default()), |path| ProgramSettings::read(&Ini::open(path)?))
     }
 
+    /// Validates parsed settings.
     pub fn read(ini: &Ini) -> Result<ProgramSettings, SettingsError> {
         let mut program = ProgramSettings::default();
         for section in &ini.sections {
--- a/crates/span/src/command_history.rs
+++ b/crates/span/src/command_history.rs
@@ -114,6 +114,7 @@
         self.of.values().map(|of| of.commands.len()).sum()
     }
 
+    /// Whether no command is kept.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/span/src/link.rs
+++ b/crates/span/src/link.rs
@@ -59,6 +59,7 @@
         Link { incarnation, peer: None, sent: VecDeque::new(), next: 1, acked: 0, received: 0, most }
     }
 
+    /// The first message on a new connection.
     pub fn hello(&self) -> Hello {
         Hello { incarnation: self.incarnation, peer: self.peer, received: self.received }
     }
--- a/crates/span/src/local_commands.rs
+++ b/crates/span/src/local_commands.rs
@@ -52,6 +52,7 @@
 }
 
 impl LocalCommands {
+    /// `most`: limit of commands at once.
     pub fn new(most: usize) -> Self {
         LocalCommands { next: 1, owed: BTreeMap::new(), most }
     }
--- a/crates/standin/src/scripted.rs
+++ b/crates/standin/src/scripted.rs
@@ -49,6 +49,7 @@
 }
 
 impl ScriptedServer {
+    /// Starts the server.
     pub fn start(primary: bool, script: Vec<Reaction>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -108,10 +109,12 @@
         }
     }
 
+    /// Number of probes so far.
     pub fn probes(&self) -> usize {
         self.probes.load(Ordering::SeqCst)
     }
 
+    /// Statements so far.
     pub fn asked(&self) -> Vec<String> {
         self.asked.lock().expect("the notes").clone()
     }
@@ -159,6 +162,7 @@
 }
 
 impl GatedServer {
+    /// Starts the server with a reaction to each statement.
     pub fn start(
         pass: usize,
         meets: impl Fn(&mut Arriving) -> std::io::Result<bool> + Send + Sync + 'static,
@@ -278,6 +282,7 @@
 }
 
 impl HeldServer {
+    /// Starts the server, which proceeds as far as `goes`.
     pub fn start(primary: bool, goes: Progress) -> Self {
         HeldServer::listen(TcpListener::bind("127.0.0.1:0").expect("a port"), primary, goes)
     }
@@ -340,6 +345,7 @@
         at(&mut self.hold.0.lock().expect("the hold"))
     }
 
+    /// Changes how far it proceeds.
     pub fn lets(&self, goes: Progress) {
         self.look(|hold| hold.goes = goes);
         self.hold.1.notify_all();
@@ -350,15 +356,18 @@
         self.look(|hold| hold.connected)
     }
 
+    /// Number of connections whose startup was answered.
     pub fn welcomed(&self) -> usize {
         self.look(|hold| hold.welcomed)
     }
 
+    /// Statements begun so far.
     pub fn begun(&self) -> Vec<StatementProgress> {
         self.look(|hold| hold.begun.clone())
     }
 }
 
+/// An entry of the server list.
 pub fn entry(host: &str, address: SocketAddr, health: &str, primary: bool) -> String {
     let recovery = if primary { "off" } else { "on" };
     format!(
@@ -367,6 +376,7 @@
     )
 }
 
+/// A server list in discovery's format.
 pub fn list(version: u64, whole: bool, entries: &[String]) -> String {
     format!(r#"{{"seq":{version},"whole":{whole},"hosts":[{}]}}"#, entries.join(",")).replace('\n', "")
 }
@@ -402,6 +412,7 @@
     (address, sender)
 }
 
+/// A gateway process.
 pub struct Gateway {
     pub address: SocketAddr,
     child: Child,
@@ -519,6 +530,7 @@
         self.signal("HUP");
     }
 
+    /// Connects a client.
     pub fn client(&self) -> Client {
         Client::connect(self.address, WAIT_TIMEOUT).expect("the gateway listens")
     }
@@ -531,6 +543,7 @@
         line.trim().trim_end_matches(" kB").parse::<usize>().expect("a figure") * 1_024
     }
 
+    /// Sends a signal by name.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("sh").arg("-c").arg(format!("kill -{name} {}", self.child.id())).status();
         assert!(sent.expect("a shell").success());
@@ -564,6 +577,7 @@
     }
 }
 
+/// Settings of the deployment for [`Gateway`].
 pub const SETTINGS: &str = r#"{"balancers":1,"me":0,"my_zone":"a","localities":["a"],"round":5000000,"categories":[
     {"name":"look","aim":400000000,"hard_limit":1500000000,"effect":"pure","worth":1.0},
     {"name":"once","aim":400000000,"hard_limit":1500000000,"effect":"side_effect","worth":1.0},
@@ -573,10 +587,12 @@
     "conn_idle":15000000000,"retry_after":true,"max_retry_after":1000000000},
     "guarantees":{"drain_grace":1000000000},"telemetry":{"fields":["x0"],"how":"piggyback"}}"#;
 
+/// A read with this id.
 pub fn read(id: u32) -> String {
     format!("SELECT v FROM records WHERE k = '7f3a' /* id={id},c=look,d=1500,cluster=2 */")
 }
 
+/// A write with this id.
 pub fn write(id: u32) -> String {
     let values = "INSERT INTO records (k, v) VALUES ('7f3a', '\\x9f03') RETURNING v";
     format!("{values} /* id={id},c=once,d=1500,cluster=2 */")
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -115,6 +115,7 @@
 }
 
 impl Shared {
+    /// Locks the state.
     pub fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
@@ -193,6 +194,7 @@
             .position(|s| s.shard == shard && s.leads && !s.replaced && s.being == Liveness::Up)
     }
 
+    /// Makes a server the primary; its predecessor does not learn of it.
     pub fn set_primary(&mut self, shard: usize, to: usize) {
         for (place, server) in self.servers.iter_mut().enumerate().filter(|(_, s)| s.shard == shard) {
             if place != to && server.leads {
@@ -226,6 +228,7 @@
 }
 
 impl Store {
+    /// Starts all servers.
     pub fn start(shape: StoreConfig) -> std::io::Result<Store> {
         let count = shape.shards * shape.members;
         let servers = (0..count).map(|server| Server {
@@ -262,6 +265,7 @@
         Ok(Store { addresses: addresses.collect::<Result<_, _>>()?, shared })
     }
 
+    /// Name of a server.
     pub fn name(server: usize) -> String {
         format!("s{server}")
     }
@@ -315,6 +319,7 @@
         self.shared.lock().servers[server].lag = lag;
     }
 
+    /// Makes a server hang: connections stay silent.
     pub fn hang(&self, server: usize) {
         let mut state = self.shared.lock();
         (state.servers[server].being, state.servers[server].stuck) = (Liveness::Hung, unix_millis());
@@ -338,6 +343,7 @@
         self.shared.lock().servers[server].in_vain
     }
 
+    /// All effects so far.
     pub fn ledger(&self) -> Vec<LedgerRow> {
         self.shared.lock().ledger.clone()
     }
