--- a/crates/fellows/src/gossip_node.rs
+++ b/crates/fellows/src/gossip_node.rs
@@ -13,8 +13,8 @@
 use crate::seal::{DatagramSealer, Keys, RejectReason};
 use crate::seeded_faults::{self, SeededFault};
 
-/// How often each gateway passes an item on: the share of gateways not reached is negligible even if a third of the
-/// datagrams are lost.
+/// How often each gateway passes an item on. About e^-MAX_SENDS of the gateways are not reached by gossip, and a third
+/// of the datagrams may be lost.
 const MAX_SENDS: u32 = 10;
 /// An unchanged own observation is sent again after this fraction of its lifetime.
 const REPEAT_DIVISOR: Micros = 3;
