--- a/crates/accord/src/rules.rs
+++ b/crates/accord/src/rules.rs
@@ -1,5 +1,5 @@
 //! The settings and the server list as far as gateways act on them. Each field states what makes it tighter and the
-//! rule that it serves; the macro [`terms!`] requires both.
+//! rule that it serves; the macro `terms!` requires both.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/council/src/member.rs
+++ b/crates/council/src/member.rs
@@ -360,7 +360,7 @@
             seat.outdated_disk = Some(ConsensusError::OutdatedDisk { ends, vouched });
             return;
         }
-        seat.heard.insert(raft.from, (from.into(), now));
+        seat.last_heard.insert(raft.from, (from.into(), now));
         if let Some(message) =
             raft.into_message().filter(|message| message.get_msg_type() != MessageType::MsgSnapshot)
         {
@@ -700,7 +700,7 @@
         self.pending.values_mut().for_each(|pending| pending.last_sent = None);
         if let Some(seat) = &mut self.node {
             let later = |at: Micros| (at + meantime).min(now);
-            seat.heard.values_mut().for_each(|(_, at)| *at = later(*at));
+            seat.last_heard.values_mut().for_each(|(_, at)| *at = later(*at));
             seat.leader_since = later(seat.leader_since);
             seat.join_requests.clear();
         }
--- a/crates/council/src/member/membership.rs
+++ b/crates/council/src/member/membership.rs
@@ -77,7 +77,7 @@
         let name = seat.names.get(&disk).cloned().unwrap_or_default();
         if let MembershipChange::Unseat { .. } = seating {
             seat.names.remove(&disk);
-            seat.heard.remove(&disk);
+            seat.last_heard.remove(&disk);
             seat.outgoing_snapshots.remove(&disk);
             seat.replaced |= disk == seat.id;
             self.events.push(MemberEvent::MemberRemoved { name });
@@ -113,7 +113,7 @@
             return seat.propose_change(&MembershipChange::Vote { disk });
         }
         let silent = |disk: &u64| {
-            let heard = seat.heard.get(disk).map_or(0, |(_, at)| *at).max(seat.leader_since);
+            let heard = seat.last_heard.get(disk).map_or(0, |(_, at)| *at).max(seat.leader_since);
             now >= heard + terms.replace_after
         };
         let unlisted = seat.names.iter().find(|(_, name)| *name != me && !terms.seats.contains(name));
--- a/crates/council/src/member/raft_node.rs
+++ b/crates/council/src/member/raft_node.rs
@@ -32,7 +32,7 @@
     pub(super) waiting_origins: BTreeMap<ProposalKey, Micros>,
     pub(super) join_requests: BTreeMap<String, (u64, Micros)>,
     /// Disks that sent messages: their name, and when last.
-    pub(super) heard: BTreeMap<u64, (String, Micros)>,
+    pub(super) last_heard: BTreeMap<u64, (String, Micros)>,
     pub(super) outgoing_snapshots: BTreeMap<u64, OutgoingSnapshot>,
     pub(super) incoming_snapshot: Option<IncomingSnapshot>,
     pub(super) leader_since: Micros,
@@ -95,7 +95,7 @@
             appended: BTreeSet::new(),
             waiting_origins: BTreeMap::new(),
             join_requests: BTreeMap::new(),
-            heard: BTreeMap::new(),
+            last_heard: BTreeMap::new(),
             outgoing_snapshots: BTreeMap::new(),
             incoming_snapshot: None,
             leader_since: 0,
--- a/crates/council/src/member/ready.rs
+++ b/crates/council/src/member/ready.rs
@@ -140,7 +140,7 @@
         let Some(seat) = &mut self.node else { return };
         for message in messages {
             // A disk that is about to join knows the leader only from messages.
-            let heard = seat.heard.get(&message.to).map(|(name, _)| name);
+            let heard = seat.last_heard.get(&message.to).map(|(name, _)| name);
             let Some(name) = seat.names.get(&message.to).or(heard) else { continue };
             let Some(mut raft) = RaftMessage::from_message(&message) else { continue };
             let vouched = seat.acknowledged.entry(message.to).or_default();
--- a/crates/council/src/member/snapshots.rs
+++ b/crates/council/src/member/snapshots.rs
@@ -100,7 +100,7 @@
             self.cluster = council;
             seat.cluster_unsaved = true;
         }
-        seat.heard.insert(raft.from, (from.into(), now));
+        seat.last_heard.insert(raft.from, (from.into(), now));
         if whole.index <= seat.raft.raft.raft_log.committed {
             return self.install_snapshot(raft, whole); // Already present; acknowledged to the sender.
         }
--- a/crates/council/src/state_machine.rs
+++ b/crates/council/src/state_machine.rs
@@ -20,7 +20,7 @@
     fn complete_index(&self) -> u64;
 
     /// Changes after index `since` (0: everything) in the order to apply them, in about `most_bytes`. A follower that
-    /// was complete up to `since` and applies them is complete up to what [`StateMachine::whole`] then returns.
+    /// was complete up to `since` and applies them is complete up to what [`StateMachine::complete_index`] then returns.
     /// Empty: none. newer.
     fn changes(&self, since: u64, most_bytes: usize) -> Vec<Self::Change>;
 
--- a/crates/duties/src/election.rs
+++ b/crates/duties/src/election.rs
@@ -30,13 +30,13 @@
     NotVacant { duty: String },
     #[error("no gateway attends")]
     NoneAttends,
-    #[error("none of {attend} gateways that attend takes itself to be well")]
+    #[error("none of the {attend} attending gateways is healthy")]
     NoneHealthy { attend: usize },
-    #[error("each of {attend} gateways that attend may be lost")]
+    #[error("all {attend} attending gateways are suspected to be down")]
     AllSuspected { attend: usize },
-    #[error("none of {attend} gateways that attend has room, or stays")]
+    #[error("none of the {attend} attending gateways has free capacity, or all are about to leave")]
     NoCapacity { attend: usize },
-    #[error("each that could hold {duty} has lost it {MAX_RECENT_LOSSES} times of late")]
+    #[error("every candidate for {duty} has recently lost it {MAX_RECENT_LOSSES} times")]
     AllFlapping { duty: String },
 }
 
@@ -47,15 +47,13 @@
             NoCandidate::NoSuchDuty { .. } => "open it, or check its name",
             NoCandidate::NotVacant { .. } => "nothing: it is granted when the lease has run out",
             NoCandidate::NoneAttends => {
-                "see whether gateways reach a seat: seats, routes and keys in [council]"
+                "check whether gateways reach a voting member: seats, addresses and keys in [council]"
             }
-            NoCandidate::NoneHealthy { .. } => {
-                "see in the gateways' logs why they are ill; start one that is well"
-            }
-            NoCandidate::AllSuspected { .. } => "see the ways between the gateways and the seats",
+            NoCandidate::NoneHealthy { .. } => "check the gateways' logs; start a healthy one",
+            NoCandidate::AllSuspected { .. } => "check the network between gateways and voting members",
             NoCandidate::NoCapacity { .. } => "start a gateway, or take load away",
             NoCandidate::AllFlapping { .. } => {
-                "see why its holders stall or are cut off; it is tried again after flap_for"
+                "check why its holders stall or are cut off; it is retried after flap_for"
             }
         }
     }
--- a/crates/duties/src/entries.rs
+++ b/crates/duties/src/entries.rs
@@ -300,17 +300,17 @@
     OtherScope { duty: String },
     #[error("the gateway {gateway} does not attend")]
     NotAttending { gateway: String },
-    #[error("the duty {duty} stands at epoch {epoch}, not held by this life of this gateway")]
+    #[error("the duty {duty} is at epoch {epoch}, which this process does not hold")]
     NotHolder { duty: String, epoch: u64 },
-    #[error("the duty {duty} is taken away: {why:?}")]
+    #[error("the duty {duty} was revoked: {why:?}")]
     TakenAway { duty: String, why: Revoked },
-    #[error("life {known} of this gateway still counts, until its attendance has run out")]
+    #[error("the earlier process {known} of this gateway attends until its attendance expires")]
     EarlierStays { known: u64 },
-    #[error("life {known} of this gateway is later than this one")]
+    #[error("a later process {known} of this gateway is known")]
     LaterLife { known: u64 },
     #[error("renewal {known} of this gateway is newer")]
     NewerRenewal { known: u64 },
-    #[error("documents up to index {newest} must be taken up before a gateway attends")]
+    #[error("documents up to index {newest} must be adopted before a gateway attends")]
     Behind { newest: u64 },
     #[error("{what} is longer than {most} bytes")]
     TooLong { what: String, most: usize },
@@ -326,17 +326,15 @@
                 "nothing, if it was closed just now; else open it, or check its name"
             }
             Refused::OtherScope { .. } => "close it first, or open one under another name",
-            Refused::NotAttending { .. } => {
-                "see why that gateway is not heard: its log, the ways between them"
-            }
+            Refused::NotAttending { .. } => "check the log of that gateway and the network to it",
             Refused::NotHolder { .. } => "nothing: another holds it, and this gateway has stopped",
-            Refused::TakenAway { .. } => "see in the log of this gateway why it did nothing or was ill",
-            Refused::EarlierStays { .. } => {
-                "nothing: it attends within the lease; if not, two run under one name"
+            Refused::TakenAway { .. } => {
+                "check in the log of this gateway why it made no progress or was unhealthy"
             }
-            Refused::LaterLife { .. } => {
-                "stop the older of two processes under one name; or set its clock right"
+            Refused::EarlierStays { .. } => {
+                "nothing: it attends within the lease; if not, two gateways use one name"
             }
+            Refused::LaterLife { .. } => "stop the older of two processes of one name, or correct its clock",
             Refused::NewerRenewal { .. } => "nothing: a message came late",
             Refused::Behind { .. } => {
                 "nothing: it asks again; if it stays so, see why documents do not reach it"
--- a/crates/duties/src/lease_grantor.rs
+++ b/crates/duties/src/lease_grantor.rs
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Entries to propose now. To be called in each iteration of the event loop, and when [`LeaseGrantor::next`] is
+    /// Entries to propose now. To be called in each iteration of the event loop, and when [`LeaseGrantor::next_due`] is
     /// due. Proposals are not repeated within `retry_interval`.
     pub fn due_proposals(
         &mut self,
@@ -311,7 +311,7 @@
         self.attending.iter().filter(move |(_, seen)| late(seen)).map(|(name, _)| name.as_str())
     }
 
-    /// Why vacant duties have no holder, as of the last [`LeaseGrantor::due`].
+    /// Why vacant duties have no holder, as of the last [`LeaseGrantor::due_proposals`].
     pub fn without_candidate(&self) -> &BTreeMap<String, NoCandidate> {
         &self.no_candidate
     }
--- a/crates/duties/src/lease_holder.rs
+++ b/crates/duties/src/lease_holder.rs
@@ -327,7 +327,7 @@
         Entry::Leave { gateway: self.own_name.clone(), life: self.life }
     }
 
-    /// Leases that ended since the last call, for the log and for [`LeaseHolder::gives_back`].
+    /// Leases that ended since the last call, for the log and for [`LeaseHolder::release_after`].
     pub fn take_ended(&mut self, now: Micros) -> Vec<LeaseEnd> {
         self.check_expiry(now);
         std::mem::take(&mut self.ended)
--- a/crates/expect/src/lib.rs
+++ b/crates/expect/src/lib.rs
@@ -1,6 +1,6 @@
 //! Routing expectations: statements on where commands go, checked against the router itself in virtual time.
 //!
-//! A [`Subject`] is a configuration; a [`Suite`] has the scenarios and expectations of its files. [`check`] looks for
+//! A [`Subject`] is a configuration; a [`Suite`] has the scenarios and expectations of its files. [`check::check`] looks for
 //! contradictions, then for runs that violate an expectation. No sockets and no clock: the caller tells when the time
 //! is over.
 
--- a/crates/fellows/src/evidence.rs
+++ b/crates/fellows/src/evidence.rs
@@ -93,7 +93,7 @@
     /// Items to pass on: times passed on, newest first, and key.
     due: BTreeSet<(u32, Reverse<Micros>, ItemKey)>,
     keep_for: Micros,
-    most: usize,
+    max_per_source: usize,
 }
 
 impl EvidenceStore {
@@ -104,7 +104,7 @@
             counts: BTreeMap::new(),
             due: BTreeSet::new(),
             keep_for,
-            most,
+            max_per_source: most,
         }
     }
 
@@ -151,7 +151,7 @@
         }
         // A source with too many items displaces its own oldest, never another's.
         let count = self.counts.entry(item.source.clone()).or_default();
-        if *count >= self.most && !seeded_faults::is_active(SeededFault::NoBound) {
+        if *count >= self.max_per_source && !seeded_faults::is_active(SeededFault::NoBound) {
             let own = self.items_of(&item.source).map(|(key, kept)| (kept.observed_at, key.clone()));
             let Some((oldest, place)) = own.min() else { return false };
             if oldest >= at {
--- a/crates/fellows/src/gossip_node.rs
+++ b/crates/fellows/src/gossip_node.rs
@@ -72,7 +72,7 @@
 pub struct DatagramCounts {
     pub sent: u64,
     pub sent_bytes: u64,
-    pub heard: u64,
+    pub received: u64,
     pub refused: BTreeMap<RejectReason, u64>,
 }
 
@@ -83,7 +83,7 @@
     seals: DatagramSealer,
     terms: GossipConfig,
     seq: u32,
-    tell_due: Micros,
+    evidence_due: Micros,
     fade_due: Micros,
     later_due: Micros,
     /// State of the pseudo-random walk over live gateways that evidence is sent to.
@@ -112,7 +112,7 @@
             evidence: EvidenceStore::new(terms.keep_for, terms.items),
             seals,
             seq: 0,
-            tell_due: now + terms.evidence_interval,
+            evidence_due: now + terms.evidence_interval,
             fade_due: now + EXPIRY_INTERVAL,
             later_due: now,
             turn: seed,
@@ -165,7 +165,7 @@
                 return;
             }
         };
-        self.counts.heard += 1;
+        self.counts.received += 1;
         match postcard::from_bytes(body) {
             Ok(Body::Membership(body)) => self.members.receive(now, &body),
             Ok(Body::Evidence(items)) => {
@@ -192,8 +192,8 @@
             return;
         };
         let Some(from) = SwimMembership::sender(&body) else { return };
-        let known = self.members.all().find(|seen| seen.fellow.name == from.name);
-        let Some(known) = known.map(|seen| seen.fellow.clone()) else { return };
+        let known = self.members.all().find(|seen| seen.identity.name == from.name);
+        let Some(known) = known.map(|seen| seen.identity.clone()) else { return };
         if known.life > from.life && now >= self.later_due {
             self.later_due = now + self.terms.members.probe_interval;
             // Sent to the address that it claims; its name would lead to the other gateway.
@@ -252,7 +252,7 @@
 
     /// When [`GossipNode::run_due`] must be called at the latest.
     pub fn next_due(&self) -> Micros {
-        self.members.next_due().min(self.tell_due).min(self.fade_due)
+        self.members.next_due().min(self.evidence_due).min(self.fade_due)
     }
 
     /// Runs everything that is due.
@@ -262,8 +262,8 @@
             self.fade_due = now + EXPIRY_INTERVAL;
             self.evidence.expire(now);
         }
-        if self.tell_due <= now {
-            self.tell_due = now + self.terms.evidence_interval;
+        if self.evidence_due <= now {
+            self.evidence_due = now + self.terms.evidence_interval;
             if !self.leaves && !self.members.yields() {
                 self.send_evidence(now);
                 self.members.gossip_faster(now);
@@ -279,7 +279,7 @@
     /// Sends evidence to a live gateway.
     fn send_evidence(&mut self, now: Micros) {
         let living: Vec<SocketAddr> =
-            self.members.alive().map(|seen| self.members.address_of(&seen.fellow)).collect();
+            self.members.alive().map(|seen| self.members.address_of(&seen.identity)).collect();
         if living.is_empty() {
             return;
         }
@@ -315,7 +315,7 @@
             self.observe(now, &me, Fact::Leaves);
         }
         let living: Vec<SocketAddr> =
-            self.members.alive().map(|seen| self.members.address_of(&seen.fellow)).collect();
+            self.members.alive().map(|seen| self.members.address_of(&seen.identity)).collect();
         let own: Vec<Item> = self
             .evidence
             .next_items(now, self.terms.max_datagram / 2, u32::MAX)
@@ -333,7 +333,7 @@
 
     /// Whether a gateway that is down has left voluntarily.
     pub fn has_left(&self, name: &str) -> bool {
-        let life = self.members.all().find(|seen| seen.fellow.name == name).map(|seen| seen.fellow.life);
+        let life = self.members.all().find(|seen| seen.identity.name == name).map(|seen| seen.identity.life);
         let told = self.evidence.get(name, name, FactKind::Fellow);
         told.is_some_and(|kept| kept.fact == Fact::Leaves && Some(kept.life) == life)
     }
@@ -342,9 +342,9 @@
     pub fn dark_zones(&self) -> Vec<(u8, u8)> {
         let mut zones: BTreeMap<(u8, u8), (bool, bool)> = BTreeMap::new();
         for seen in self.members.all() {
-            let (lives, lost) = zones.entry((seen.fellow.region, seen.fellow.zone)).or_default();
+            let (lives, lost) = zones.entry((seen.identity.region, seen.identity.zone)).or_default();
             *lives |= seen.standing != PeerStatus::Down;
-            *lost |= seen.standing == PeerStatus::Down && !self.has_left(&seen.fellow.name);
+            *lost |= seen.standing == PeerStatus::Down && !self.has_left(&seen.identity.name);
         }
         zones.into_iter().filter(|(_, (lives, lost))| !lives && *lost).map(|(zone, _)| zone).collect()
     }
--- a/crates/fellows/src/membership.rs
+++ b/crates/fellows/src/membership.rs
@@ -86,7 +86,7 @@
 /// What is known about a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerState {
-    pub fellow: GatewayIdentity,
+    pub identity: GatewayIdentity,
     pub standing: PeerStatus,
     /// Incarnation of that status; raised by the peer to refute a suspicion.
     pub incarnation: u16,
@@ -116,7 +116,7 @@
 /// State of the membership.
 pub struct SwimMembership {
     swim: Swim,
-    figures: SwimConfig,
+    config: SwimConfig,
     health: LocalHealth,
     timers: BTreeMap<(Micros, u64), (Timer<GatewayIdentity>, Micros)>,
     count: u64,
@@ -124,14 +124,14 @@
     seeds: BTreeMap<String, SocketAddr>,
     asked: usize,
     join_due: Micros,
-    deaf: bool,
+    isolated: bool,
     /// Start of the current window, and peers learned in it and in the previous one.
     learned: (Micros, u32, u32),
     outbid: u32,
     rival: Option<u64>,
     yields: bool,
-    out: Vec<(SocketAddr, Vec<u8>)>,
-    news: Vec<MembershipEvent>,
+    outgoing: Vec<(SocketAddr, Vec<u8>)>,
+    events: Vec<MembershipEvent>,
 }
 
 impl SwimMembership {
@@ -171,7 +171,7 @@
         let rng = Xoshiro256PlusPlus::seed_from_u64(seed);
         SwimMembership {
             swim: Foca::new(me, config, rng, PostcardCodec),
-            figures,
+            config: figures,
             health: LocalHealth::new(now),
             timers: BTreeMap::new(),
             count: 0,
@@ -179,13 +179,13 @@
             seeds,
             asked: seed as usize,
             join_due: now,
-            deaf: false,
+            isolated: false,
             learned: (now, 0, 0),
             outbid: 0,
             rival: None,
             yields: false,
-            out: Vec::new(),
-            news: Vec::new(),
+            outgoing: Vec::new(),
+            events: Vec::new(),
         }
     }
 
@@ -196,7 +196,7 @@
 
     /// Address of a peer: from the settings, or as it announces.
     pub fn address_of(&self, to: &GatewayIdentity) -> SocketAddr {
-        self.figures.routes.get(&to.name).copied().unwrap_or(to.address)
+        self.config.routes.get(&to.name).copied().unwrap_or(to.address)
     }
 
     /// This gateway's health score.
@@ -221,12 +221,12 @@
 
     /// Takes the datagram bodies to send, with their targets.
     pub fn take_datagrams(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outgoing)
     }
 
     /// Takes the events since the last call.
     pub fn take_events(&mut self) -> Vec<MembershipEvent> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.events)
     }
 
     /// When [`SwimMembership::run_due`] must be called at the latest.
@@ -241,8 +241,8 @@
             return;
         }
         self.health.on_datagram(now);
-        if std::mem::take(&mut self.deaf) {
-            self.news.push(MembershipEvent::Hears);
+        if std::mem::take(&mut self.isolated) {
+            self.events.push(MembershipEvent::Hears);
         }
         self.inspect(now, body);
         if !self.yields {
@@ -289,7 +289,7 @@
         by: &str,
     ) {
         let Some(seen) = self.seen.get_mut(&of.name) else { return };
-        if seen.fellow != *of || seen.standing == PeerStatus::Down || incarnation < seen.incarnation {
+        if seen.identity != *of || seen.standing == PeerStatus::Down || incarnation < seen.incarnation {
             return;
         }
         match state {
@@ -344,14 +344,14 @@
             && !seeded_faults::is_active(SeededFault::NobodyYields)
         {
             self.yields = true;
-            self.news.push(MembershipEvent::Yields(other.address));
+            self.events.push(MembershipEvent::Yields(other.address));
             return;
         }
         if other.life >= me.life {
             let life = other.life + 1;
             let next = GatewayIdentity { life, ..me };
             self.call_foca(now, |swim, runtime| swim.change_identity(next, runtime));
-            self.news.push(MembershipEvent::Renewed(life));
+            self.events.push(MembershipEvent::Renewed(life));
         }
     }
 
@@ -361,18 +361,18 @@
             return;
         }
         let overdue = self.timers.keys().next().map_or(0, |(at, _)| now.saturating_sub(*at));
-        let paused = overdue > PAUSE_PERIODS * self.figures.probe_interval
+        let paused = overdue > PAUSE_PERIODS * self.config.probe_interval
             && !seeded_faults::is_active(SeededFault::PausedAccuses);
         if paused {
             self.health.on_pause();
-            self.news.push(MembershipEvent::Paused(overdue));
+            self.events.push(MembershipEvent::Paused(overdue));
         }
         let alone = self.alive().next().is_none();
         let deaf = !alone
             && !seeded_faults::is_active(SeededFault::DeafAccuses)
-            && self.health.hears_nothing(now, ISOLATED_AFTER_PERIODS * self.figures.probe_interval);
-        if deaf && !std::mem::replace(&mut self.deaf, true) {
-            self.news.push(MembershipEvent::Deaf);
+            && self.health.hears_nothing(now, ISOLATED_AFTER_PERIODS * self.config.probe_interval);
+        if deaf && !std::mem::replace(&mut self.isolated, true) {
+            self.events.push(MembershipEvent::Deaf);
         }
         let due: Vec<(Micros, u64)> = self.timers.range(..=(now, u64::MAX)).map(|(key, _)| *key).collect();
         let mut taken: Vec<(Timer<GatewayIdentity>, Micros)> =
@@ -394,7 +394,7 @@
             }
         }
         if self.join_due <= now {
-            self.join_due = now + self.figures.probe_interval;
+            self.join_due = now + self.config.probe_interval;
             if alone || deaf {
                 self.request_join(now, ISOLATED_CONTACTS);
             } else {
@@ -416,7 +416,7 @@
 
     /// Asks known peers and those in the settings, in turn, to let this gateway join.
     fn request_join(&mut self, now: Micros, most: usize) {
-        let met = self.seen.values().map(|seen| (seen.fellow.name.clone(), seen.fellow.address));
+        let met = self.seen.values().map(|seen| (seen.identity.name.clone(), seen.identity.address));
         let mut known = self.seeds.clone();
         known.extend(met);
         for _ in 0..most.min(known.len()) {
@@ -436,7 +436,7 @@
         });
         let suspected = |(fellow, incarnation): &(GatewayIdentity, u16)| {
             let seen = self.seen.get(&fellow.name);
-            seen.is_some_and(|seen| seen.fellow == *fellow && seen.incarnation <= *incarnation)
+            seen.is_some_and(|seen| seen.identity == *fellow && seen.incarnation <= *incarnation)
         };
         accused.filter(suspected).collect()
     }
@@ -492,7 +492,7 @@
             self.asked = self.asked.wrapping_add(1);
             let count = self.alive().count().max(1);
             let Some(one) = self.alive().nth(self.asked.wrapping_mul(CONTACT_STEP) % count) else { return };
-            let one = one.fellow.clone();
+            let one = one.identity.clone();
             self.call_foca(now, |swim, runtime| swim.announce(one, runtime));
         }
     }
@@ -513,7 +513,7 @@
         let mut runtime = AccumulatingRuntime::new();
         let _ = call(&mut self.swim, &mut runtime);
         while let Some((to, body)) = runtime.to_send() {
-            self.out.push((self.address_of(&to), body.to_vec()));
+            self.outgoing.push((self.address_of(&to), body.to_vec()));
         }
         while let Some((delay, timer)) = runtime.to_schedule() {
             if let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = &timer {
@@ -536,7 +536,7 @@
                 let far = if member_id.region == self.me().region {
                     1
                 } else {
-                    Micros::from(self.figures.remote_region_factor)
+                    Micros::from(self.config.remote_region_factor)
                 };
                 self.health.scale(delay * far)
             }
@@ -549,7 +549,7 @@
     fn on_notification(&mut self, now: Micros, news: OwnedNotification<GatewayIdentity>) {
         let mut stands = |fellow: &GatewayIdentity, standing| {
             let seen = PeerState {
-                fellow: fellow.clone(),
+                identity: fellow.clone(),
                 standing,
                 incarnation: 0,
                 since: now,
@@ -564,23 +564,23 @@
                     self.learned = (now, 0, self.learned.1);
                 }
                 self.learned.1 += 1;
-                self.news.push(MembershipEvent::Up(fellow));
+                self.events.push(MembershipEvent::Up(fellow));
             }
             OwnedNotification::MemberDown(fellow) => {
                 stands(&fellow, PeerStatus::Down);
-                self.news.push(MembershipEvent::Down(fellow));
+                self.events.push(MembershipEvent::Down(fellow));
             }
             OwnedNotification::Rename(_, fellow) => {
                 if let Some(seen) = self.seen.get_mut(&fellow.name) {
                     // Whether that incarnation is down is reported separately; suspicions of the previous one are void.
-                    (seen.fellow, seen.incarnation) = (fellow, 0);
+                    (seen.identity, seen.incarnation) = (fellow, 0);
                     seen.suspected_by.clear();
                     if seen.standing == PeerStatus::Suspect {
                         (seen.standing, seen.since) = (PeerStatus::Alive, now);
                     }
                 }
             }
-            OwnedNotification::Rejoin(fellow) => self.news.push(MembershipEvent::Renewed(fellow.life)),
+            OwnedNotification::Rejoin(fellow) => self.events.push(MembershipEvent::Renewed(fellow.life)),
             _ => {}
         }
     }
--- a/crates/fellows/src/seal.rs
+++ b/crates/fellows/src/seal.rs
@@ -82,7 +82,7 @@
     /// Bit n: the datagram n before the newest was received.
     seen: u64,
     /// Smallest offset of our clock to the sender's, and when it was updated.
-    least: i64,
+    min_offset: i64,
     at: Micros,
 }
 
@@ -159,7 +159,8 @@
         }
         let fresh = known.is_none_or(|sender| sender.life < head.life);
         if fresh {
-            let sender = SenderState { life: head.life, newest: head.count, seen: 1, least: ahead, at: now };
+            let sender =
+                SenderState { life: head.life, newest: head.count, seen: 1, min_offset: ahead, at: now };
             self.senders.insert(head.from.clone(), sender);
             return Ok((head, body, 0));
         }
@@ -180,8 +181,8 @@
         // Delayed datagrams must not make old evidence look new. Only the two own clocks are used; the smallest
         // offset may grow by the clock drift.
         let drift = (now.saturating_sub(sender.at) / DRIFT_DIVISOR / MILLI) as i64;
-        (sender.least, sender.at) = (ahead.min(sender.least + drift), now);
-        let late = (ahead - sender.least).max(0) as Micros * MILLI;
+        (sender.min_offset, sender.at) = (ahead.min(sender.min_offset + drift), now);
+        let late = (ahead - sender.min_offset).max(0) as Micros * MILLI;
         if late > self.old_after && !seeded_faults::is_active(SeededFault::OldCounts) {
             Err(RejectReason::Old)
         } else {
--- a/crates/fellows/tests/fellows/membership.rs
+++ b/crates/fellows/tests/fellows/membership.rs
@@ -223,14 +223,14 @@
         bent[4] ^= 9;
         net.deliver(at, 0, bent);
     }
-    let before = net.nodes[0].fellows.counts().heard;
+    let before = net.nodes[0].fellows.counts().received;
     let evidence = net.nodes[0].fellows.evidence().clone();
     let standing = net.nodes[0].fellows.members().alive().count();
     let at = net.now;
     net.run(1_000);
     assert!(!caught.is_empty() && net.now == at + 1_000);
     assert_eq!(net.nodes[0].fellows.members().alive().count(), standing);
-    let fresh = net.nodes[0].fellows.counts().heard - before;
+    let fresh = net.nodes[0].fellows.counts().received - before;
     assert!(fresh <= 2, "{fresh} of the network's own");
     assert_eq!(net.nodes[0].fellows.evidence().len(), evidence.len());
     assert!(net.nodes[0].fellows.counts().refused.values().sum::<u64>() >= 2 * caught.len() as u64);
--- a/crates/fellows/tests/fellows/net.rs
+++ b/crates/fellows/tests/fellows/net.rs
@@ -173,7 +173,7 @@
     /// Status of `of` as seen by `by`.
     pub fn stands(&self, by: usize, of: usize) -> Option<PeerStatus> {
         let name = self.nodes[of].fellows.members().me().name.clone();
-        let seen = self.nodes[by].fellows.members().all().find(|seen| seen.fellow.name == name);
+        let seen = self.nodes[by].fellows.members().all().find(|seen| seen.identity.name == name);
         seen.map(|seen| seen.standing)
     }
 
--- a/crates/gateway/src/council/conduct.rs
+++ b/crates/gateway/src/council/conduct.rs
@@ -49,7 +49,9 @@
 impl ConsensusThread {
     /// Whether a switch of this duty is in progress.
     pub(super) fn switch_in_progress(&self, duty: &str) -> bool {
-        shard_of(duty).and_then(|shard| self.works.get(&shard)).is_some_and(|work| work.switch_pending)
+        shard_of(duty)
+            .and_then(|shard| self.conducted_changes.get(&shard))
+            .is_some_and(|work| work.switch_pending)
     }
 
     /// Continues each change that this gateway may conduct.
@@ -60,7 +62,8 @@
         let now = boottime();
         let held: Vec<(u32, u64)> =
             self.holder.duties(now).filter_map(|(duty, epoch, _)| Some((shard_of(duty)?, epoch))).collect();
-        self.works.retain(|shard, work| work.switch_pending || held.iter().any(|(held, _)| held == shard));
+        self.conducted_changes
+            .retain(|shard, work| work.switch_pending || held.iter().any(|(held, _)| held == shard));
         for (shard, epoch) in held {
             self.conduct_one(shard, epoch);
         }
@@ -74,8 +77,8 @@
         let servers = facts.planned.get(&shard).and_then(|planned| planned.servers.as_ref());
         // Without a server list no target counts as lost.
         let target_lost = servers.is_some_and(|all| all.get(&to).is_none_or(|server| server.leaving));
-        let switch_for = self.set.step_within;
-        let work = self.works.entry(shard).or_default();
+        let switch_for = self.settings.step_within;
+        let work = self.conducted_changes.entry(shard).or_default();
         if work.epoch != epoch {
             // A switch in progress is of an older epoch; its answer is ignored here.
             *work = ConductedChange { epoch, since: now, ..ConductedChange::default() };
@@ -94,7 +97,7 @@
             switch_result: work.switch_result.clone(),
             switch_pending: work.switch_pending,
         };
-        match next_action(self.council.state(), shard, &self.me, epoch, &seen) {
+        match next_action(self.consensus.state(), shard, &self.own_name, epoch, &seen) {
             ConductorAction::Wait(waits) => self.holder.record_waiting(&duty, waits == WaitReason::Store),
             ConductorAction::Propose(entry) => {
                 work.proposed = true;
@@ -130,7 +133,7 @@
 
     /// Handles the decision on a step.
     pub(super) fn on_step_decided(&mut self, shard: u32, _index: u64, outcome: &Outcome) {
-        if let Some(work) = self.works.get_mut(&shard) {
+        if let Some(work) = self.conducted_changes.get_mut(&shard) {
             work.proposed = false;
         }
         let duty = conductor_duty_of(shard);
@@ -146,13 +149,13 @@
 
     /// Sends a switch to the store if the lease lasts long enough.
     fn send_switch(&mut self, switch: Switch) {
-        let (now, duty, within) = (boottime(), conductor_duty_of(switch.shard), self.set.effect_within);
-        let Some(work) = self.works.get_mut(&switch.shard) else { return };
+        let (now, duty, within) = (boottime(), conductor_duty_of(switch.shard), self.settings.effect_within);
+        let Some(work) = self.conducted_changes.get_mut(&switch.shard) else { return };
         if now < work.retry_at {
             return;
         }
         work.retry_at = now + SWITCH_RETRY_INTERVAL;
-        let Some(template) = self.set.switch_statement.clone() else {
+        let Some(template) = self.settings.switch_statement.clone() else {
             return self.switched_by_operator(&switch);
         };
         let facts = self.facts();
@@ -160,14 +163,14 @@
         let server = servers.and_then(|servers| servers.get(&switch.to));
         // The rest of the lease must cover opening a connection. The statement itself may outlast it, since the server
         // rejects it once it has seen a later epoch.
-        let may =
-            self.holder.may_start(now, &duty, self.set.lease / LEASE_RESERVE_DIVISOR) == Some(switch.epoch);
+        let may = self.holder.may_start(now, &duty, self.settings.lease / LEASE_RESERVE_DIVISOR)
+            == Some(switch.epoch);
         let Some(until) = self.holder.until(&duty).filter(|_| may) else { return };
         let Some(address) = server.map(|server| server.address) else {
             let end = Err(SwitchError::NoAddress(switch.to.clone()));
             return self.on_switch_ended(SwitchEnded { switch, took: 0, end });
         };
-        let (statement, conducted) = (effect::statement(&template, &switch), self.conducted.clone());
+        let (statement, conducted) = (effect::statement(&template, &switch), self.switch_results.clone());
         let (told, lease_end) = (switch.clone(), in_mono(now, until));
         let tells = move || {
             let starts = |mono| {
@@ -179,7 +182,7 @@
         };
         match std::thread::Builder::new().name("switch".into()).spawn(tells) {
             Ok(_) => {
-                if let Some(work) = self.works.get_mut(&switch.shard) {
+                if let Some(work) = self.conducted_changes.get_mut(&switch.shard) {
                     work.switch_pending = true;
                 }
             }
@@ -195,7 +198,7 @@
         let leads = ShardReport::Leads { server: switch.to.clone() };
         let facts = self.facts();
         let word = facts.planned.get(&switch.shard).and_then(|planned| planned.word.as_ref());
-        if let Some(work) = self.works.get_mut(&switch.shard).filter(|_| word == Some(&leads)) {
+        if let Some(work) = self.conducted_changes.get_mut(&switch.shard).filter(|_| word == Some(&leads)) {
             work.switch_result = Some((switch.to.clone(), SwitchResult::Confirmed));
         }
         self.holder.record_waiting(&conductor_duty_of(switch.shard), false);
@@ -223,7 +226,10 @@
             }
         };
         // An answer to an older epoch says nothing about the current one.
-        let Some(work) = self.works.get_mut(&switch.shard).filter(|work| work.epoch == epoch) else { return };
+        let Some(work) = self.conducted_changes.get_mut(&switch.shard).filter(|work| work.epoch == epoch)
+        else {
+            return;
+        };
         work.switch_pending = false;
         work.retry_at = boottime() + SWITCH_RETRY_INTERVAL;
         if told == SwitchResult::Confirmed {
--- a/crates/gateway/src/council/fault.rs
+++ b/crates/gateway/src/council/fault.rs
@@ -85,15 +85,17 @@
         match self {
             RequestError::Off => "set 'enabled' of [council], and start the gateway anew",
             RequestError::Silent => "see its log; its disk may be slow",
-            RequestError::NotWhole => "wait a moment; if it stays so, see whether it reaches a seat",
-            RequestError::NoSuchWord(_) => "say status, show, propose, withdraw, plan or abort",
-            RequestError::Missing(_) => "say it with the word",
+            RequestError::NotWhole => {
+                "wait a moment; if it stays so, check whether it reaches a voting member"
+            }
+            RequestError::NoSuchWord(_) => "use status, show, propose, withdraw, plan or abort",
+            RequestError::Missing(_) => "add it to the request",
             RequestError::NoNumber(_) => "change its primary by `tansyjunction handover`, at each gateway",
             RequestError::NoShard(_) | RequestError::NoServer { .. } => {
                 "see `tansyjunction handover status`, and discovery's list"
             }
             RequestError::NoPrimary(_) => "wait until a write or a probe has shown it; see `handover status`",
-            RequestError::Leads { .. } => "nothing is to be done",
+            RequestError::Leads { .. } => "nothing to do",
             RequestError::BadName(_) => "name servers with letters, digits, dots, dashes and underscores",
             RequestError::UnderWay { .. } => "wait for its end, or abort it first",
             RequestError::NothingUnderWay(_) => "see `tansyjunction council status`",
@@ -101,11 +103,11 @@
             RequestError::NoDocument(_) => "see `tansyjunction council status`",
             RequestError::Overtaken { .. } => "look at what is there now, and propose again",
             RequestError::Undecided => {
-                "see `tansyjunction council status`: more than half of the seats must be there"
+                "see `tansyjunction council status`: more than half of the voting members must be running"
             }
             RequestError::TooLong => "shorten it, or divide it into several documents",
             RequestError::Refused(refused) => refused.remedy(),
-            RequestError::Otherwise(_) => "see `tansyjunction council status`, then say it again",
+            RequestError::Otherwise(_) => "see `tansyjunction council status`, then repeat the request",
         }
     }
 }
--- a/crates/gateway/src/council/member.rs
+++ b/crates/gateway/src/council/member.rs
@@ -78,11 +78,11 @@
 
 /// State of the thread.
 pub struct ConsensusThread {
-    pub(super) me: String,
+    pub(super) own_name: String,
     zone: String,
-    pub(super) set: Set,
-    terms: LeaseConfig,
-    pub(super) council: ConsensusMember<SharedState>,
+    pub(super) settings: Set,
+    lease_config: LeaseConfig,
+    pub(super) consensus: ConsensusMember<SharedState>,
     pub(super) holder: LeaseHolder,
     pub(super) grantor: Option<LeaseGrantor>,
     seals: DatagramSealer,
@@ -91,13 +91,13 @@
     /// Addresses of the configured members, and of others as last seen.
     routes: BTreeMap<String, SocketAddr>,
     seed: u64,
-    told: Arc<ArcSwap<AgreedPlans>>,
-    pub(super) scouts: Arc<ArcSwap<ProbingHolders>>,
+    agreed_plans: Arc<ArcSwap<AgreedPlans>>,
+    pub(super) probing_holders: Arc<ArcSwap<ProbingHolders>>,
     facts: Arc<ArcSwap<Facts>>,
     agreed: Ping,
-    pub(super) tickets: BTreeMap<u64, ProposalPurpose>,
-    pub(super) works: BTreeMap<u32, ConductedChange>,
-    pub(super) conducted: Sender<SwitchEnded>,
+    pub(super) proposals: BTreeMap<u64, ProposalPurpose>,
+    pub(super) conducted_changes: BTreeMap<u32, ConductedChange>,
+    pub(super) switch_results: Sender<SwitchEnded>,
     /// Probing duties proposed by this gateway, and the progress reported for each held one.
     pub(super) opened: BTreeSet<String>,
     pub(super) probes: BTreeMap<String, u64>,
@@ -106,13 +106,13 @@
     /// The [`AgreedPlans::newest`] last passed to the serving thread.
     newest: u64,
     /// The cluster of that state.
-    of: u64,
+    cluster: u64,
     /// Whether a renewal is sent at once because this gateway's report has changed.
     renew_now: bool,
     last_report: BTreeMap<String, String>,
     /// Since when it leaves; whether the final entry was proposed, and decided.
-    leaves: Option<Micros>,
-    last_word: Option<u64>,
+    leaving_since: Option<Micros>,
+    final_proposal: Option<u64>,
     left: bool,
     /// Whether the serving thread has ended this one.
     ended: bool,
@@ -217,33 +217,33 @@
         info!(target: "council", what = "begins", mono = monotonic(), life, seat = grantor.is_some(), "consensus started as {me}");
         Ok(ConsensusThread {
             holder: LeaseHolder::new(&me, life, terms.clone()),
-            me,
+            own_name: me,
             zone,
-            set,
-            terms,
-            council,
+            settings: set,
+            lease_config: terms,
+            consensus: council,
             grantor,
             seals,
             key_file,
             socket,
             routes,
             seed,
-            told: opening.told,
-            scouts: opening.scouts,
+            agreed_plans: opening.told,
+            probing_holders: opening.scouts,
             facts: opening.facts,
             agreed: opening.agreed,
-            tickets: BTreeMap::new(),
-            works: BTreeMap::new(),
-            conducted,
+            proposals: BTreeMap::new(),
+            conducted_changes: BTreeMap::new(),
+            switch_results: conducted,
             opened: BTreeSet::new(),
             probes: BTreeMap::new(),
             granted: BTreeMap::new(),
             newest: 0,
-            of: 0,
+            cluster: 0,
             renew_now: false,
             last_report: BTreeMap::new(),
-            leaves: None,
-            last_word: None,
+            leaving_since: None,
+            final_proposal: None,
             left: false,
             ended: false,
             failure: broken,
@@ -254,11 +254,11 @@
     }
 
     pub(super) fn leaves(&self) -> bool {
-        self.leaves.is_some()
+        self.leaving_since.is_some()
     }
 
     pub(super) fn register(&self) -> &SharedState {
-        self.council.state()
+        self.consensus.state()
     }
 
     pub(super) fn facts(&self) -> Arc<Facts> {
@@ -266,8 +266,8 @@
     }
 
     pub(super) fn propose(&mut self, entry: Entry, ticket: ProposalPurpose) -> u64 {
-        let number = self.council.propose(boottime(), entry);
-        self.tickets.insert(number, ticket);
+        let number = self.consensus.propose(boottime(), entry);
+        self.proposals.insert(number, ticket);
         number
     }
 
@@ -288,21 +288,21 @@
     fn on_datagram(&mut self, from: SocketAddr, bytes: &[u8]) {
         let now = boottime();
         let opened = match self.seals.open(now, bytes) {
-            Ok((head, body, _)) => addressed_message(body, &self.me).map(|body| (head.from, body)),
+            Ok((head, body, _)) => addressed_message(body, &self.own_name).map(|body| (head.from, body)),
             Err(_) => None,
         };
         let Some((name, body)) = opened else {
             self.refused += 1;
             return;
         };
-        if !self.set.seats.contains(&name) {
+        if !self.settings.seats.contains(&name) {
             self.routes.insert(name.clone(), from);
         }
-        self.council.receive(now, &name, body);
+        self.consensus.receive(now, &name, body);
     }
 
     fn send(&mut self) {
-        for (to, body) in self.council.take_messages() {
+        for (to, body) in self.consensus.take_messages() {
             let Some(address) = self.routes.get(&to).copied() else { continue };
             let mut whole = Vec::with_capacity(to.len() + 1 + body.len());
             whole.push(to.len().min(usize::from(u8::MAX)) as u8);
@@ -320,10 +320,10 @@
     /// dead whose messages are still in the socket. Expired leases need no such care: each use of a lease reads the
     /// clock.
     fn restart_timers(&mut self, now: Micros, late: Micros) {
-        if late > self.set.elect_after / PAUSE_DIVISOR {
-            self.council.restart_timers(now);
+        if late > self.settings.elect_after / PAUSE_DIVISOR {
+            self.consensus.restart_timers(now);
         }
-        if late > self.set.lease / PAUSE_DIVISOR {
+        if late > self.settings.lease / PAUSE_DIVISOR {
             let ms = late / 1_000;
             warn!(target: "council", what = "paused", mono = monotonic(), ms, "the consensus thread was paused");
             if let Some(grantor) = &mut self.grantor {
@@ -340,12 +340,12 @@
         }
         for _ in 0..MAX_ROUNDS {
             self.run_consensus();
-            let proposed = self.tickets.len();
+            let proposed = self.proposals.len();
             self.renew();
             self.propose_due();
             self.conduct_changes();
             self.scout();
-            if self.tickets.len() == proposed {
+            if self.proposals.len() == proposed {
                 break;
             }
         }
@@ -353,28 +353,28 @@
         self.log_ended_leases();
         self.continue_leaving();
         self.send();
-        self.tell_scouts();
+        self.publish_probing_holders();
         self.publish_agreed();
         self.due = self.next_due();
     }
 
     /// Runs the consensus member and handles its decisions and events.
     fn run_consensus(&mut self) {
-        if let Err(fault) = self.council.process(boottime()) {
+        if let Err(fault) = self.consensus.process(boottime()) {
             self.become_follower(fault);
         }
-        let applied = self.council.take_applied();
+        let applied = self.consensus.take_applied();
         if let Some(grantor) = &mut self.grantor {
             let now = boottime();
             for (_, entry, _) in &applied {
-                grantor.on_applied(now, self.council.state(), entry);
+                grantor.on_applied(now, self.consensus.state(), entry);
             }
         }
-        for (number, outcome) in self.council.take_decided() {
+        for (number, outcome) in self.consensus.take_decided() {
             self.decided(number, outcome);
         }
         let mono = monotonic();
-        for news in self.council.take_events() {
+        for news in self.consensus.take_events() {
             match news {
                 MemberEvent::BecameLeader { term } => {
                     info!(target: "council", what = "leads", mono, term, "this gateway is now the leader");
@@ -409,19 +409,20 @@
         self.failure = Some(fault);
         self.grantor = None;
         let now = boottime();
-        self.council = ConsensusMember::follower(now, &self.me, consensus_config(&self.set), self.seed ^ now);
-        for (_, ticket) in std::mem::take(&mut self.tickets) {
+        self.consensus =
+            ConsensusMember::follower(now, &self.own_name, consensus_config(&self.settings), self.seed ^ now);
+        for (_, ticket) in std::mem::take(&mut self.proposals) {
             self.undecided(ticket);
         }
     }
 
     fn decided(&mut self, number: u64, outcome: Result<(u64, Outcome), ProposalError>) {
-        if self.last_word == Some(number) {
+        if self.final_proposal == Some(number) {
             self.left = true;
             // Avoids an election at each planned restart of the leader, during which no lease is renewed.
-            self.council.transfer_leadership();
+            self.consensus.transfer_leadership();
         }
-        match (self.tickets.remove(&number), outcome) {
+        match (self.proposals.remove(&number), outcome) {
             (Some(ProposalPurpose::Renewal), Ok((_, outcome))) => {
                 self.holder.on_outcome(boottime(), &outcome);
                 self.renewed(&outcome);
@@ -441,7 +442,7 @@
     fn undecided(&mut self, ticket: ProposalPurpose) {
         match ticket {
             ProposalPurpose::Step(shard) => {
-                if let Some(work) = self.works.get_mut(&shard) {
+                if let Some(work) = self.conducted_changes.get_mut(&shard) {
                     work.proposed = false;
                 }
             }
@@ -456,7 +457,7 @@
     fn renewed(&mut self, outcome: &Outcome) {
         self.log_ended_leases();
         let Outcome::Renewed(all) = outcome else { return };
-        for renewed in all.iter().filter(|renewed| renewed.gateway == self.me) {
+        for renewed in all.iter().filter(|renewed| renewed.gateway == self.own_name) {
             if let Err(refused) = &renewed.attends {
                 let (mono, remedy) = (monotonic(), refused.remedy());
                 debug!(target: "council", what = "renewed-late", mono, remedy, "attendance was not renewed: {refused}");
@@ -514,21 +515,21 @@
         // A changed report is sent at once, since others wait for it.
         self.renew_now |= says != self.last_report;
         let now = boottime();
-        if self.last_word.is_some() || !(self.holder.due(now, self.register()) || self.renew_now) {
+        if self.final_proposal.is_some() || !(self.holder.due(now, self.register()) || self.renew_now) {
             return;
         }
-        let deaf = now > facts.at + MAX_MISSED_REPORTS * (self.set.attend_every / 2);
+        let deaf = now > facts.at + MAX_MISSED_REPORTS * (self.settings.attend_every / 2);
         self.last_report.clone_from(&says);
         self.renew_now = false;
         let own = GatewayReport {
             taken: facts.adopted,
             zone: self.zone.clone(),
             health: if deaf { UNHEALTHY } else { facts.health },
-            room: if self.leaves.is_some() { 0 } else { facts.room },
+            room: if self.leaving_since.is_some() { 0 } else { facts.room },
             says,
         };
         let now = boottime();
-        let renewal = self.holder.create_renewal(now, self.council.state(), own);
+        let renewal = self.holder.create_renewal(now, self.consensus.state(), own);
         self.propose(Entry::Renewals(vec![renewal]), ProposalPurpose::Renewal);
     }
 
@@ -537,11 +538,11 @@
         let Some(grantor) = &mut self.grantor else { return };
         let suspected: BTreeSet<String> = self.facts.load().suspected.iter().cloned().collect();
         let evidence = ElectionEvidence {
-            is_leader: self.council.is_leader(),
+            is_leader: self.consensus.is_leader(),
             suspected,
             ..ElectionEvidence::default()
         };
-        for entry in grantor.due_proposals(boottime(), self.council.state(), &evidence) {
+        for entry in grantor.due_proposals(boottime(), self.consensus.state(), &evidence) {
             let mono = monotonic();
             match &entry {
                 Entry::Expire { duty, epoch, .. } => {
@@ -577,21 +578,21 @@
     }
 
     fn leave(&mut self) {
-        if self.leaves.is_none() {
-            self.leaves = Some(boottime());
+        if self.leaving_since.is_none() {
+            self.leaving_since = Some(boottime());
             info!(target: "council", what = "leaves", mono = monotonic(), "shutting down: handing over duties");
         }
     }
 
     /// Hands over held duties to the gateways that an election would choose, then leaves.
     fn continue_leaving(&mut self) {
-        let Some(since) = self.leaves else { return };
+        let Some(since) = self.leaving_since else { return };
         let now = boottime();
-        if self.last_word.is_some() {
+        if self.final_proposal.is_some() {
             return;
         }
         if now > since + LEAVE_TIMEOUT {
-            self.last_word = Some(0);
+            self.final_proposal = Some(0);
             self.left = true;
             return;
         }
@@ -613,13 +614,13 @@
             self.propose(entry, ProposalPurpose::Parting);
         }
         self.log_ended_leases();
-        let parting = self.tickets.values().any(|ticket| matches!(ticket, ProposalPurpose::Parting));
+        let parting = self.proposals.values().any(|ticket| matches!(ticket, ProposalPurpose::Parting));
         let holds = self.holder.duties(now).next().is_some();
         if !parting && !holds {
             let entry = self.holder.leave(now);
-            self.last_word = Some(self.propose(entry, ProposalPurpose::Parting));
+            self.final_proposal = Some(self.propose(entry, ProposalPurpose::Parting));
         }
-        if let Err(fault) = self.council.process(boottime()) {
+        if let Err(fault) = self.consensus.process(boottime()) {
             self.become_follower(fault);
         }
     }
@@ -630,7 +631,7 @@
         let stands = register.duties.get_mut(duty)?;
         stands.holder = None;
         stands.standing = Standing::Vacant { since: 0, why: Vacated::New };
-        register.attending.remove(&self.me);
+        register.attending.remove(&self.own_name);
         let suspected = self.facts().suspected.iter().cloned().collect();
         elect(&register, &ElectionEvidence { suspected, ..ElectionEvidence::default() }, duty).ok()
     }
@@ -644,12 +645,12 @@
             return;
         }
         // Never goes back to an older state, unless in another cluster: a gateway that lost its store starts from none.
-        let council = self.council.status().council;
-        if newest < self.newest && council == self.of {
+        let council = self.consensus.status().council;
+        if newest < self.newest && council == self.cluster {
             return;
         }
-        self.of = council;
-        let before = self.told.load_full();
+        self.cluster = council;
+        let before = self.agreed_plans.load_full();
         let register = self.register();
         let shards = register.documents.keys().filter(|name| name.starts_with("plan/"));
         let plans: BTreeMap<u32, Plan> = shards
@@ -667,23 +668,25 @@
             );
         }
         self.newest = newest;
-        self.told.store(Arc::new(AgreedPlans { newest, plans }));
+        self.agreed_plans.store(Arc::new(AgreedPlans { newest, plans }));
         self.agreed.ping();
     }
 
     fn next_due(&self) -> Micros {
         let now = boottime();
-        let waits = self.works.values().filter_map(ConductedChange::next_check);
+        let waits = self.conducted_changes.values().filter_map(ConductedChange::next_check);
         let ends = self.holder.next_end(now);
         let grants = self.grantor.as_ref().and_then(|grantor| grantor.next_due(now));
         // A newly granted duty gets its first renewal shortly after the last one.
-        let granted = self.register().held_by(&self.me, self.holder.life());
+        let granted = self.register().held_by(&self.own_name, self.holder.life());
         let soon = granted.into_iter().any(|(duty, epoch)| self.granted.get(duty) != Some(&epoch));
-        let soon = soon.then(|| now + self.terms.renew_interval / 10);
-        let leaves =
-            self.leaves.filter(|_| self.last_word.is_none()).map(|_| now + self.terms.renew_interval / 10);
+        let soon = soon.then(|| now + self.lease_config.renew_interval / 10);
+        let leaves = self
+            .leaving_since
+            .filter(|_| self.final_proposal.is_none())
+            .map(|_| now + self.lease_config.renew_interval / 10);
         let all =
-            [Some(self.council.next_due()), Some(self.holder.next_renewal()), ends, grants, soon, leaves];
+            [Some(self.consensus.next_due()), Some(self.holder.next_renewal()), ends, grants, soon, leaves];
         all.into_iter().flatten().chain(waits).min().unwrap_or(now).max(now + 200)
     }
 }
--- a/crates/gateway/src/council/mod.rs
+++ b/crates/gateway/src/council/mod.rs
@@ -107,7 +107,7 @@
 
 /// An operator's request, and where to send the answer.
 pub struct OperatorRequest {
-    pub word: Json,
+    pub request: Json,
     pub stream: UnixStream,
     /// For a change of primary: the shard's number and its primary as known by this gateway.
     pub shard: Option<(u32, String)>,
@@ -122,13 +122,13 @@
 
 /// Handle of the consensus thread, held by the serving thread.
 pub struct Handle {
-    told: Arc<ArcSwap<AgreedPlans>>,
-    scouts: Arc<ArcSwap<ProbingHolders>>,
+    agreed_plans: Arc<ArcSwap<AgreedPlans>>,
+    probing_holders: Arc<ArcSwap<ProbingHolders>>,
     facts: Arc<ArcSwap<Facts>>,
-    orders: SyncSender<ThreadCommand>,
+    commands: SyncSender<ThreadCommand>,
     /// Wakes the consensus thread to read the facts.
     wake: Ping,
-    over: Receiver<()>,
+    ended: Receiver<()>,
     thread: Option<JoinHandle<()>>,
     pub beat: Micros,
 }
@@ -197,7 +197,19 @@
     let named = std::thread::Builder::new().name("council".into());
     let thread = Some(named.spawn(run).map_err(|error| thread_fault(&error))?);
     let beat = set.attend_every / 2;
-    Ok((Handle { told, scouts, facts, orders, wake, over, thread, beat }, woken))
+    Ok((
+        Handle {
+            agreed_plans: told,
+            probing_holders: scouts,
+            facts,
+            commands: orders,
+            wake,
+            ended: over,
+            thread,
+            beat,
+        },
+        woken,
+    ))
 }
 
 fn read_keys(path: &std::path::Path) -> Result<Keys, String> {
@@ -208,12 +220,12 @@
 impl Handle {
     /// The last agreed plans.
     pub fn agreed(&self) -> Arc<AgreedPlans> {
-        self.told.load_full()
+        self.agreed_plans.load_full()
     }
 
     /// The last holders of probing duties.
     pub fn probing_holders(&self) -> Arc<ProbingHolders> {
-        self.scouts.load_full()
+        self.probing_holders.load_full()
     }
 
     /// Updates the facts; wakes the thread if `at_once`.
@@ -226,15 +238,15 @@
 
     /// Queues a command; false if the thread is gone or its queue is full.
     pub fn send(&self, order: ThreadCommand) -> bool {
-        self.orders.try_send(order).is_ok()
+        self.commands.try_send(order).is_ok()
     }
 
-    /// Ends the thread. After [`Facts::leaves`] it may take up to `most` to hand over duties; a disk that does not
+    /// Ends the thread. After [`Facts::shutting_down`] it may take up to `most` to hand over duties; a disk that does not
     /// respond does not delay the process.
     pub fn join(mut self, most: Duration) {
-        let _ = self.over.recv_timeout(most);
-        drop(self.orders);
-        let ended = self.over.recv_timeout(THREAD_JOIN_TIMEOUT) == Err(RecvTimeoutError::Disconnected);
+        let _ = self.ended.recv_timeout(most);
+        drop(self.commands);
+        let ended = self.ended.recv_timeout(THREAD_JOIN_TIMEOUT) == Err(RecvTimeoutError::Disconnected);
         if ended && let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
--- a/crates/gateway/src/council/scout.rs
+++ b/crates/gateway/src/council/scout.rs
@@ -33,15 +33,15 @@
     }
 
     /// Passes the holders to the serving thread, with the time until which they are valid.
-    pub(super) fn tell_scouts(&self) {
+    pub(super) fn publish_probing_holders(&self) {
         let register = self.register();
         let held = register.duties.iter().filter(|(_, duty)| duty.standing == Standing::Held);
         let of =
             held.filter_map(|(name, duty)| Some((probed_group(name)?.into(), duty.holder_name()?.into())));
         let until = if register.is_complete() { self.holder.attends_until() } else { 0 };
         let scouts = ProbingHolders { until, by_group: of.collect() };
-        if **self.scouts.load() != scouts {
-            self.scouts.store(Arc::new(scouts));
+        if **self.probing_holders.load() != scouts {
+            self.probing_holders.store(Arc::new(scouts));
         }
     }
 }
--- a/crates/gateway/src/council/status.rs
+++ b/crates/gateway/src/council/status.rs
@@ -9,7 +9,7 @@
 impl ConsensusThread {
     /// Members, documents, attending gateways, and holders of duties.
     pub(super) fn status(&self) -> Json {
-        let (now, register, stands) = (boottime(), self.register(), self.council.status());
+        let (now, register, stands) = (boottime(), self.register(), self.consensus.status());
         let documents = register.documents.iter().map(|(name, document)| {
             json!({
                 "name": name, "version": document.version, "by": document.by, "bytes": document.body.len(),
@@ -52,7 +52,7 @@
             json!({ "group": group, "scout": scout, "probes": done.probes, "spared": done.spared })
         });
         json!({
-            "gateway": self.me, "role": format!("{:?}", stands.role).to_lowercase(), "term": stands.term,
+            "gateway": self.own_name, "role": format!("{:?}", stands.role).to_lowercase(), "term": stands.term,
             "leader": stands.leader, "seats": stands.seats, "council": format!("{:016x}", stands.council),
             "decided": stands.decided, "applied": stands.applied, "index": register.index,
             "log": { "first": stands.log.0, "last": stands.log.1, "bytes": stands.log.2 },
--- a/crates/gateway/src/council/words.rs
+++ b/crates/gateway/src/council/words.rs
@@ -58,7 +58,7 @@
 
 impl ConsensusThread {
     pub(super) fn asked(&mut self, asked: OperatorRequest) {
-        let OperatorRequest { word, stream, shard } = asked;
+        let OperatorRequest { request: word, stream, shard } = asked;
         match self.answer(&word, shard) {
             Ok(Answer::Now(answer)) => reply(&stream, Ok(answer)),
             Ok(Answer::Propose(entry, name)) => {
@@ -76,10 +76,10 @@
             return Ok(Answer::Now(self.status()));
         }
         let register = self.register();
-        if !register.is_complete() || self.council.index() == 0 {
+        if !register.is_complete() || self.consensus.index() == 0 {
             return Err(RequestError::NotWhole);
         }
-        let by = format!("{} ({})", self.me, word["by"].as_str().unwrap_or("operator"));
+        let by = format!("{} ({})", self.own_name, word["by"].as_str().unwrap_or("operator"));
         match what {
             "show" => {
                 let name = text("name")?;
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -66,7 +66,7 @@
     listener: Option<Listener>,
     /// Whether each step of each command is logged, and the diagnosis of the members for the last command placed.
     log_steps: bool,
-    lacking: Vec<MemberDiagnosis>,
+    diagnosis: Vec<MemberDiagnosis>,
     due: TimerQueue<Due>,
     /// Clients whose next message may be handled.
     turns: RoundRobin,
@@ -116,7 +116,7 @@
             watch: Watch::default(),
             listener: Some(listener),
             log_steps: steps::is_enabled(),
-            lacking: Vec::new(),
+            diagnosis: Vec::new(),
             due: TimerQueue::default(),
             turns: RoundRobin::default(),
             router_due: 0,
--- a/crates/gateway/src/gateway/company.rs
+++ b/crates/gateway/src/gateway/company.rs
@@ -32,7 +32,7 @@
 
 /// The other gateways.
 pub struct Membership {
-    fellows: GossipNode,
+    node: GossipNode,
     socket: Rc<UdpSocket>,
     key_file: PathBuf,
     advise: bool,
@@ -45,23 +45,23 @@
 impl Membership {
     /// When the membership needs its next call.
     pub fn next(&self) -> Micros {
-        self.fellows.next_due().min(self.advise_due)
+        self.node.next_due().min(self.advise_due)
     }
 
     /// A gateway's last observation of whether a server is reachable, and its age.
     pub(super) fn last_observation(&self, now: Micros, by: &str, server: &str) -> Option<(Fact, Micros)> {
-        let kept = self.fellows.evidence().get(by, server, FactKind::Reach)?;
+        let kept = self.node.evidence().get(by, server, FactKind::Reach)?;
         Some((kept.fact, now.saturating_sub(kept.observed_at)))
     }
 
     /// Whether a gateway reports most of its servers as unreachable.
     pub(super) fn accuses_most(&self, gateway: &str) -> bool {
-        opinion::unreliable_observers(self.fellows.evidence()).contains(gateway)
+        opinion::unreliable_observers(self.node.evidence()).contains(gateway)
     }
 
     /// The membership.
     pub fn members(&self) -> &SwimMembership {
-        self.fellows.members()
+        self.node.members()
     }
 }
 
@@ -127,7 +127,7 @@
         let fellows = GossipNode::new(now, me, peers, keys, terms, seed);
         info!(target: "fellows", %address, zone = self.deployment.zone, "joined the membership as {}", self.deployment.name);
         self.membership = Some(Membership {
-            fellows,
+            node: fellows,
             socket,
             key_file: key_file.clone(),
             advise: told.advise,
@@ -144,7 +144,7 @@
         let mut bytes = [0; MAX_DATAGRAM_BYTES];
         for _ in 0..DATAGRAMS_PER_TURN {
             match company.socket.recv_from(&mut bytes) {
-                Ok((length, _)) => company.fellows.receive(now, &bytes[..length]),
+                Ok((length, _)) => company.node.receive(now, &bytes[..length]),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => break,
                 // An earlier datagram was refused: its receiver is gone, which the failure detector notices.
                 Err(_) => {}
@@ -157,8 +157,8 @@
     pub(super) fn run_membership(&mut self) {
         let now = self.clock.now();
         let Some(company) = self.membership.as_mut().filter(|company| company.next() <= now) else { return };
-        if company.fellows.next_due() <= now {
-            company.fellows.run_due(now);
+        if company.node.next_due() <= now {
+            company.node.run_due(now);
         }
         self.send_membership();
         self.share_observations(now);
@@ -166,13 +166,13 @@
 
     fn send_membership(&mut self) {
         let Some(company) = &mut self.membership else { return };
-        for (to, bytes) in company.fellows.take_datagrams() {
+        for (to, bytes) in company.node.take_datagrams() {
             // Datagrams that the socket does not accept are lost.
             let _ = company.socket.send_to(&bytes, to);
         }
-        let score = company.fellows.members().health();
+        let score = company.node.members().health();
         let mono = monotonic();
-        for news in company.fellows.take_events() {
+        for news in company.node.take_events() {
             let where_is =
                 |fellow: &GatewayIdentity| (fellow.name.clone(), fellow.zone, fellow.region, fellow.life);
             match news {
@@ -181,9 +181,9 @@
                     info!(target: "fellows", what = "up", mono, fellow, zone, region, life, "a gateway is up");
                 }
                 MembershipEvent::Down(fellow) => {
-                    let left = company.fellows.has_left(&fellow.name);
+                    let left = company.node.has_left(&fellow.name);
                     let (fellow, zone, region, life) = where_is(&fellow);
-                    let dark = format!("{:?}", company.fellows.dark_zones());
+                    let dark = format!("{:?}", company.node.dark_zones());
                     let what = if left { "left" } else { "down" };
                     warn!(target: "fellows", what, mono, fellow, zone, region, life, dark, score, "a gateway is down or has left");
                 }
@@ -216,19 +216,19 @@
             return;
         }
         for server in company.groups.keys() {
-            if let Some(waits) = self.router.waits_at_cold(now, *server) {
+            if let Some(waits) = self.router.wait_while_warming_up(now, *server) {
                 let waits = u16::try_from(waits / 1_000).unwrap_or(u16::MAX);
-                company.fellows.observe(now, self.servers_named.name(*server), Fact::Waits(waits));
+                company.node.observe(now, self.servers_named.name(*server), Fact::Waits(waits));
             }
         }
-        let own = company.fellows.members().me().name.clone();
-        let opinions = company.fellows.opinions(now);
+        let own = company.node.members().me().name.clone();
+        let opinions = company.node.opinions(now);
         let mut groups: BTreeMap<usize, Vec<&str>> = BTreeMap::new();
         for (server, group) in &company.groups {
             groups.entry(*group).or_default().push(self.servers_named.name(*server));
         }
         for members in groups.values() {
-            let leader = opinion::agreed_primary(company.fellows.evidence(), &own, members);
+            let leader = opinion::agreed_primary(company.node.evidence(), &own, members);
             for member in members {
                 let opinion = opinions.get(*member);
                 let bad = opinion.and_then(|opinion| opinion.bad_since());
@@ -262,10 +262,8 @@
         for fact in [reach, role, said.position.map(Fact::At)].into_iter().flatten() {
             match fact {
                 // The others rely on its age.
-                Fact::Refuses | Fact::Hangs if scouts => {
-                    company.fellows.observe_as_reference(now, name, fact)
-                }
-                _ => company.fellows.observe(now, name, fact),
+                Fact::Refuses | Fact::Hangs if scouts => company.node.observe_as_reference(now, name, fact),
+                _ => company.node.observe(now, name, fact),
             }
         }
     }
@@ -301,7 +299,7 @@
                 company.groups.insert(entry.server, entry.group);
             }
             if entry.state != tansyjunction::interface::ServerState::Serving {
-                company.fellows.observe(now, self.servers_named.name(entry.server), Fact::Drains);
+                company.node.observe(now, self.servers_named.name(entry.server), Fact::Drains);
             }
         }
     }
@@ -309,7 +307,7 @@
     /// Leaves the membership after SIGTERM.
     pub(super) fn leave_membership(&mut self, now: Micros) {
         if let Some(company) = &mut self.membership {
-            company.fellows.leave(now);
+            company.node.leave(now);
             self.send_membership();
         }
     }
@@ -318,7 +316,7 @@
     pub(super) fn reload_membership_keys(&mut self) {
         let Some(company) = &mut self.membership else { return };
         match read_keys(&company.key_file) {
-            Ok(keys) => company.fellows.set_keys(keys),
+            Ok(keys) => company.node.set_keys(keys),
             Err(message) => error!(target: "fellows", "the key file was not reloaded: {message}"),
         }
     }
@@ -326,7 +324,7 @@
     /// Status for operators: members, evidence with ages, and suspicions.
     pub(super) fn membership_status(&self, now: Micros) -> Result<Json, String> {
         let company = self.membership.as_ref().ok_or("fellows are switched off")?;
-        let fellows = &company.fellows;
+        let fellows = &company.node;
         let age = |at: Micros| now.saturating_sub(at) / 1_000;
         let zone = |zone: u8| self.deployment.zones.get(usize::from(zone)).cloned().unwrap_or_default();
         let region = |region: u8| company.regions.get(usize::from(region)).cloned().unwrap_or_default();
@@ -334,12 +332,12 @@
             let standing = match seen.standing {
                 PeerStatus::Alive => "alive",
                 PeerStatus::Suspect => "suspect",
-                PeerStatus::Down if fellows.has_left(&seen.fellow.name) => "left",
+                PeerStatus::Down if fellows.has_left(&seen.identity.name) => "left",
                 PeerStatus::Down => "down",
             };
             json!({
-                "name": seen.fellow.name, "address": seen.fellow.address.to_string(),
-                "zone": zone(seen.fellow.zone), "region": region(seen.fellow.region), "life": seen.fellow.life,
+                "name": seen.identity.name, "address": seen.identity.address.to_string(),
+                "zone": zone(seen.identity.zone), "region": region(seen.identity.region), "life": seen.identity.life,
                 "standing": standing, "for_ms": age(seen.since), "suspected_by": seen.suspected_by,
             })
         });
@@ -357,7 +355,7 @@
             "health": fellows.members().health(), "yields": fellows.members().yields(),
             "dark": fellows.dark_zones().into_iter().map(|(_, dark)| zone(dark)).collect::<Vec<_>>(),
             "members": members.collect::<Vec<_>>(), "evidence": evidence.collect::<Vec<_>>(),
-            "sent": counts.sent, "sent_bytes": counts.sent_bytes, "heard": counts.heard,
+            "sent": counts.sent, "sent_bytes": counts.sent_bytes, "heard": counts.received,
             "refused": refused.collect::<serde_json::Map<String, Json>>(),
         }))
     }
--- a/crates/gateway/src/gateway/council.rs
+++ b/crates/gateway/src/gateway/council.rs
@@ -29,9 +29,9 @@
 /// The serving thread's side of the consensus.
 pub struct Consensus {
     handle: Handle,
-    told: Arc<AgreedPlans>,
+    agreed_plans: Arc<AgreedPlans>,
     /// Changes passed to the handover, by shard: number of the plan and its target.
-    holding: BTreeMap<u32, (u64, String)>,
+    plans_in_handover: BTreeMap<u32, (u64, String)>,
     /// Shard of each listed server, and whether it drains or is gone. `None`: no list yet.
     listed: Option<BTreeMap<usize, (usize, bool)>>,
     /// Whether the names of the membership are those of the consensus.
@@ -64,7 +64,8 @@
         let shards = known.iter().filter_map(|server| Some((*server, (self.servers.shard(*server)?, false))));
         let listed = (!known.is_empty()).then(|| shards.collect());
         self.probing = set.scout.then(|| SharedProbing::new(set.scout_word));
-        self.consensus = Some(Consensus { handle, told, holding, listed, same_names });
+        self.consensus =
+            Some(Consensus { handle, agreed_plans: told, plans_in_handover: holding, listed, same_names });
         self.report_facts(true);
         Ok(())
     }
@@ -72,7 +73,7 @@
     /// Handles newly agreed state.
     fn on_agreed(&mut self) {
         let Some(agreeing) = &mut self.consensus else { return };
-        agreeing.told = agreeing.handle.agreed();
+        agreeing.agreed_plans = agreeing.handle.agreed();
         self.apply_plans();
         self.report_facts(true);
     }
@@ -91,7 +92,7 @@
         if self
             .consensus
             .as_ref()
-            .is_some_and(|agreeing| agreeing.told.plans.values().any(|plan| !plan.is_finished()))
+            .is_some_and(|agreeing| agreeing.agreed_plans.plans.values().any(|plan| !plan.is_finished()))
         {
             self.apply_plans();
             self.report_facts(true);
@@ -103,26 +104,27 @@
         let now = self.clock.now();
         let Some(agreeing) = &mut self.consensus else { return };
         let Some(holds) = &mut self.handover else { return };
-        for (shard, plan) in &agreeing.told.plans {
+        for (shard, plan) in &agreeing.agreed_plans.plans {
             let name = shard.to_string();
             let Some(place) = self.groups.find(&name) else { continue };
-            let held = agreeing.holding.get(shard).is_some_and(|(number, _)| *number == plan.number);
-            let holds_for = agreeing.holding.get(shard).map(|(_, to)| to.clone());
+            let held =
+                agreeing.plans_in_handover.get(shard).is_some_and(|(number, _)| *number == plan.number);
+            let holds_for = agreeing.plans_in_handover.get(shard).map(|(_, to)| to.clone());
             if !held && let Some(to) = holds_for {
                 // Another plan follows it.
-                agreeing.holding.remove(shard);
+                agreeing.plans_in_handover.remove(shard);
                 abort(holds, now, place, self.servers_named.find(&to));
             }
             match plan.step {
                 Step::Announced | Step::Switching if !held && plan.stop.is_none() => {
                     let Some(target) = self.servers_named.find(&plan.to) else { continue };
                     if holds.handover.plan_change(now, place, target).is_ok() {
-                        agreeing.holding.insert(*shard, (plan.number, plan.to.clone()));
+                        agreeing.plans_in_handover.insert(*shard, (plan.number, plan.to.clone()));
                         info!(target: "servers", "starting the agreed change of shard {name} to {}", plan.to);
                     }
                 }
                 Step::Done | Step::Aborted if held => {
-                    agreeing.holding.remove(shard);
+                    agreeing.plans_in_handover.remove(shard);
                     abort(holds, now, place, self.servers_named.find(&plan.to));
                 }
                 _ => {}
@@ -139,19 +141,19 @@
 
     fn report_facts(&self, at_once: bool) {
         let Some(agreeing) = &self.consensus else { return };
-        let under_way = agreeing.told.plans.iter().filter(|(_, plan)| !plan.is_finished());
+        let under_way = agreeing.agreed_plans.plans.iter().filter(|(_, plan)| !plan.is_finished());
         let planned: BTreeMap<u32, PlannedShard> =
             under_way.map(|(shard, plan)| (*shard, self.planned_shard(agreeing, *shard, plan))).collect();
         let company = self.membership.as_ref().map(|company| company.members());
         let health = company.map_or(0, |members| members.health().min(u32::from(u8::MAX)) as u8);
         let suspected = company.into_iter().filter(|_| agreeing.same_names).flat_map(|members| {
-            members.all().filter(|seen| seen.standing != Seen::Alive).map(|seen| seen.fellow.name.clone())
+            members.all().filter(|seen| seen.standing != Seen::Alive).map(|seen| seen.identity.name.clone())
         });
         let held = self.clients.count() + self.servers.count();
         let free = self.deployment.sockets.saturating_sub(held) * TENTHS / self.deployment.sockets;
         let facts = Facts {
             at: boottime(),
-            adopted: agreeing.told.newest,
+            adopted: agreeing.agreed_plans.newest,
             health,
             room: if self.stop_deadline.is_some() { 0 } else { free.max(1) as u8 },
             shutting_down: self.stop_deadline.is_some(),
@@ -168,7 +170,8 @@
         let status = self.handover.as_ref().and_then(|holds| holds.handover.shard_status(place));
         let word = status.and_then(|status| {
             let target = self.servers_named.find(&plan.to);
-            let held = agreeing.holding.get(&shard).is_some_and(|(number, _)| *number == plan.number);
+            let held =
+                agreeing.plans_in_handover.get(&shard).is_some_and(|(number, _)| *number == plan.number);
             if held && status.phase == Phase::Electing && status.target.is_some() && status.target == target {
                 return Some(ShardReport::Drained { number: plan.number });
             }
@@ -207,7 +210,7 @@
         let agreeing = self.consensus.as_ref().ok_or(RequestError::Off).map_err(error)?;
         let shard = self.request_shard(word).map_err(error)?;
         let stream = stream.try_clone().map_err(|error| json!({ "error": error.to_string() }))?;
-        let asked = OperatorRequest { word: word.clone(), stream, shard };
+        let asked = OperatorRequest { request: word.clone(), stream, shard };
         match agreeing.handle.send(ThreadCommand::Answer(asked)) {
             true => Ok(()),
             false => Err(error(RequestError::Silent)),
--- a/crates/gateway/src/gateway/scout.rs
+++ b/crates/gateway/src/gateway/scout.rs
@@ -12,7 +12,7 @@
 
 /// Probes of this gateway.
 pub struct SharedProbing {
-    scout: ProbeDelegation,
+    delegation: ProbeDelegation,
     /// Numbers of probes sent and spared, by group.
     counts: BTreeMap<usize, (u64, u64)>,
     /// Servers with a probe in flight, with their groups.
@@ -23,7 +23,7 @@
     /// Creates the state; `word_most` is the largest age of the holder's results.
     pub fn new(word_most: Micros) -> Self {
         SharedProbing {
-            scout: ProbeDelegation::new(word_most),
+            delegation: ProbeDelegation::new(word_most),
             counts: BTreeMap::new(),
             in_flight: BTreeSet::new(),
         }
@@ -71,7 +71,7 @@
             holder_doubted: bad && scout.as_deref().is_some_and(|scout| company.accuses_most(scout)),
         };
         let counts = scouting.counts.entry(group).or_default();
-        match scouting.scout.replacement(now, server, &known) {
+        match scouting.delegation.replacement(now, server, &known) {
             Some(found) => {
                 counts.1 += 1;
                 Some(if found == ProbeResult::Hangs {
--- a/crates/gateway/src/gateway/servers.rs
+++ b/crates/gateway/src/gateway/servers.rs
@@ -146,9 +146,9 @@
     pub(super) fn close_invalid(&mut self, key: u64) {
         let Some(connection) = self.servers.get(key) else { return };
         let started = matches!(connection.protocol.phase, Phase::Ready | Phase::Busy);
-        if started && connection.protocol.said.ending.is_none() {
+        if started && connection.protocol.server_answer.ending.is_none() {
             warn!(target: "servers", "invalid data from a server");
-            connection.protocol.said = ServerAnswer::default();
+            connection.protocol.server_answer = ServerAnswer::default();
         }
         let ending = match connection.job {
             _ if !started => DispatchEnd::Reset,
@@ -249,7 +249,7 @@
     /// Reports the end of a connection's job to the router: as the server answered, or else `ending`.
     pub(super) fn finish_job(&mut self, key: u64, ending: DispatchEnd) {
         let Some(connection) = self.servers.get(key) else { return };
-        let said = std::mem::take(&mut connection.protocol.said);
+        let said = std::mem::take(&mut connection.protocol.server_answer);
         let (server, written) = (connection.server, connection.written);
         let ending = said.ending_by(connection.job == Some(Job::Probe), written.is_some(), ending);
         if let Some(job) = self.servers.finish(key) {
@@ -302,7 +302,7 @@
     pub(super) fn reopen(&mut self, key: u64, ending: DispatchEnd) -> bool {
         let Some(connection) = self.servers.get(key) else { return false };
         let broke = matches!(ending, DispatchEnd::Unconnected | DispatchEnd::Reset)
-            && connection.protocol.said.ending.is_none();
+            && connection.protocol.server_answer.ending.is_none();
         let new = matches!(connection.protocol.phase, Phase::Connecting | Phase::Starting | Phase::Ready);
         if !broke || !new || connection.reopened {
             return false;
--- a/crates/gateway/src/gateway/steps.rs
+++ b/crates/gateway/src/gateway/steps.rs
@@ -41,7 +41,7 @@
     /// Records the diagnosis of the members before a command is placed, in case it is abandoned or dispatched.
     pub(super) fn step_asked(&mut self, now: Micros, command: u64) {
         let Some(held) = self.commands.get(command).filter(|_| self.log_steps) else { return };
-        self.lacking = self.router.lacks(now, held);
+        self.diagnosis = self.router.diagnose(now, held);
     }
 
     pub(super) fn step_placed(&self, command: u64, place: &Placement) {
@@ -49,7 +49,7 @@
         if !self.log_steps {
             return;
         }
-        let found = self.lacking.iter().find(|one| one.server == *server);
+        let found = self.diagnosis.iter().find(|one| one.server == *server);
         let (primary, cold) = found.map_or((false, false), |one| (one.primary, one.cold));
         let (at, name) = (self.clock.now(), self.servers_named.name(*server));
         debug!(target: "commands", step = "sent", command, at, server = name, primary, cold);
@@ -72,7 +72,7 @@
     pub(super) fn step_given_up(&self, command: u64, last: FinalAnswer) {
         if self.log_steps {
             let what = if last == FinalAnswer::Failed { "failed" } else { "throttled" };
-            let (at, lacks) = (self.clock.now(), describe(&self.lacking));
+            let (at, lacks) = (self.clock.now(), describe(&self.diagnosis));
             debug!(target: "commands", step = "over", command, at, what, lacks);
         }
     }
--- a/crates/gateway/src/memory/servers.rs
+++ b/crates/gateway/src/memory/servers.rs
@@ -124,7 +124,7 @@
         let Some(connection) = self.connections.get_mut(&key) else { return };
         connection.job = Some(job);
         connection.job_due = due;
-        connection.protocol.said = Default::default();
+        connection.protocol.server_answer = Default::default();
         connection.written = None;
         if let Job::Command { command, dispatch } = job {
             self.by_dispatch.insert((command, dispatch), key);
--- a/crates/gateway/src/wire/server.rs
+++ b/crates/gateway/src/wire/server.rs
@@ -68,10 +68,10 @@
 pub struct ProtocolState {
     pub phase: Phase,
     pub inbox: Inbox,
-    pub said: ServerAnswer,
+    pub server_answer: ServerAnswer,
     /// Ranges of the answer's messages so far, and how far the inbox was scanned.
     answer: Vec<Range<usize>>,
-    looked: usize,
+    scanned: usize,
 }
 
 impl Default for ProtocolState {
@@ -79,9 +79,9 @@
         ProtocolState {
             phase: Phase::Connecting,
             inbox: Inbox::default(),
-            said: ServerAnswer::default(),
+            server_answer: ServerAnswer::default(),
             answer: Vec::new(),
-            looked: 0,
+            scanned: 0,
         }
     }
 }
@@ -90,53 +90,55 @@
     /// Handles messages up to the next significant one.
     pub fn next_event(&mut self, now: Micros) -> Event {
         loop {
-            let (kind, length) = match frames::first(&self.inbox.rest()[self.looked..], MAX_MESSAGE_BYTES) {
+            let (kind, length) = match frames::first(&self.inbox.rest()[self.scanned..], MAX_MESSAGE_BYTES) {
                 Ok(Some(first)) => first,
                 Ok(None) => return Event::Nothing,
                 Err(_) => return Event::Invalid,
             };
-            let here = self.looked..self.looked + length;
-            self.looked = here.end;
+            let here = self.scanned..self.scanned + length;
+            self.scanned = here.end;
             let body = &self.inbox.rest()[here.start + frames::HEADER_BYTES..here.end];
             match (self.phase, kind) {
                 (_, b'N') | (Phase::Starting, b'K') => {}
-                (_, b'S') => self.said.parameter(body),
+                (_, b'S') => self.server_answer.parameter(body),
                 (Phase::Starting, b'R') if body == [0; 4] => {}
                 (Phase::Starting, b'Z') => {
                     self.phase = Phase::Ready;
-                    self.drop_looked();
+                    self.drop_scanned();
                     return Event::Ready;
                 }
                 (Phase::Starting, b'E') => {
                     // Rejected before a statement was sent; otherwise the server was just not reached.
                     let ending = frames::error_code(body).map(end_by_code);
-                    self.said.ending = ending.filter(|ending| *ending == DispatchEnd::SentBack);
+                    self.server_answer.ending = ending.filter(|ending| *ending == DispatchEnd::SentBack);
                     return Event::Invalid;
                 }
-                (Phase::Busy, b'E') if self.said.ending.is_none() => {
+                (Phase::Busy, b'E') if self.server_answer.ending.is_none() => {
                     let Some(code) = frames::error_code(body) else { return Event::Invalid };
-                    self.said.ending = Some(end_by_code(code));
-                    self.said.at = Some(now);
+                    self.server_answer.ending = Some(end_by_code(code));
+                    self.server_answer.at = Some(now);
                 }
                 (Phase::Busy, b'T') if self.answer.is_empty() && frames::is_one_column(body) => {
                     self.answer.push(here)
                 }
                 (Phase::Busy, b'D') if self.answer.len() == 1 => {
                     let Some(value) = frames::column(body) else { return Event::Invalid };
-                    self.said.row = std::str::from_utf8(value).ok().and_then(parse_report);
+                    self.server_answer.row = std::str::from_utf8(value).ok().and_then(parse_report);
                     self.answer.push(here);
                 }
                 (Phase::Busy, b'C')
-                    if self.answer.len() == 2 && self.said.ending.is_none() && frames::is_one_row(body) =>
+                    if self.answer.len() == 2
+                        && self.server_answer.ending.is_none()
+                        && frames::is_one_row(body) =>
                 {
                     self.answer.push(here);
-                    self.said.ending = Some(DispatchEnd::Answered);
-                    self.said.at = Some(now);
+                    self.server_answer.ending = Some(DispatchEnd::Answered);
+                    self.server_answer.at = Some(now);
                     return Event::Answer(self.answer.clone());
                 }
-                (Phase::Busy, b'Z') if self.said.ending.is_some() => {
+                (Phase::Busy, b'Z') if self.server_answer.ending.is_some() => {
                     self.phase = Phase::Ready;
-                    self.drop_looked();
+                    self.drop_scanned();
                     return Event::Done;
                 }
                 _ => return Event::Invalid,
@@ -144,9 +146,9 @@
         }
     }
 
-    fn drop_looked(&mut self) {
-        self.inbox.consume(self.looked);
-        self.looked = 0;
+    fn drop_scanned(&mut self) {
+        self.inbox.consume(self.scanned);
+        self.scanned = 0;
         self.answer.clear();
     }
 }
@@ -295,7 +297,7 @@
                 }
             }
             assert_eq!(heard, ["answer", "done"], "split at {split}");
-            let said = &talk.said;
+            let said = &talk.server_answer;
             assert_eq!((said.ending, said.at), (Some(DispatchEnd::Answered), Some(7)));
             assert_eq!(
                 (said.stated.primary, said.stated.position),
@@ -406,7 +408,7 @@
             let mut talk = ProtocolState { phase: Phase::Busy, ..ProtocolState::default() };
             talk.inbox.append(&[said, message(b'Z', b"I")].concat());
             assert_eq!(talk.next_event(0), heard, "{what}");
-            assert_eq!(talk.said.ending, ending, "{what}");
+            assert_eq!(talk.server_answer.ending, ending, "{what}");
         }
     }
 }
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,7 +1,7 @@
 //! Fault injection with many processes of the program on loopback, in three zones and two regions, with a store,
 //! discovery and clients: delays, loss, duplicates, partitions per direction, kills, pauses and planned stops.
 //!
-//! [`Plan`] describes what happens, [`run`] executes it, and [`judge`] finds violated rules in the logs. Plans are
+//! [`Plan`] describes what happens, [`run()`] executes it, and [`judge`] finds violated rules in the logs. Plans are
 //! files; a seed always gives the same plan, and failing ones are minimized by [`Plan::shrunk`].
 
 pub mod duties;
--- a/src/balance/diagnosis.rs
+++ b/src/balance/diagnosis.rs
@@ -5,7 +5,7 @@
 
 impl Router {
     /// Average recent wait in µs at a member that is still warming up and answers; `None` for other members.
-    pub fn waits_at_cold(&self, now: Micros, server: usize) -> Option<Micros> {
+    pub fn wait_while_warming_up(&self, now: Micros, server: usize) -> Option<Micros> {
         let member = self.members.get(&server)?;
         let answers = member.started.is_some_and(|at| member.latest_answered_sent_at > at);
         (answers && self.warm_up_share(now, member) < 1.0).then(|| member.decayed_wait(now) as Micros)
@@ -13,7 +13,7 @@
 
     /// What each member of the command's group lacks for it now, by server number. Empty where the command group or
     /// the group is unknown.
-    pub fn lacks(&self, now: Micros, pending: &PendingCommand) -> Vec<MemberDiagnosis> {
+    pub fn diagnose(&self, now: Micros, pending: &PendingCommand) -> Vec<MemberDiagnosis> {
         let command = &pending.command;
         let (Some(command_group), Some(group)) =
             (self.command_groups.get(command.command_group), self.groups.get(&command.group))
